--- a/include/eiderarch/router.hpp
+++ b/include/eiderarch/router.hpp
@@ -1,5 +1,7 @@
-// The whole interface of eiderarch: settings, events, actions and the Router. The decisions are in
-// src/router/.
+// Public interface of eiderarch: settings, events, actions and the Router. The decisions are implemented in
+// src/router/. A router decides for one front, which sends clients' requests to engines (model server
+// instances). A request is prefilled by a reader, which then holds its KV cache (its state) until a writer
+// has fetched it to decode the answer, or the whole request is served by one engine.
 #pragma once
 
 #include <chrono>
@@ -12,21 +14,25 @@
 namespace eiderarch {
 
 using Duration = std::chrono::microseconds;
-// Time since any fixed point; the caller's clock never goes backwards.
+// Time since an arbitrary fixed point, by a clock that never goes backwards.
 using Time = std::chrono::microseconds;
 using RequestId = std::uint64_t;
 using EngineId = std::uint64_t;
-// Sessions and shared beginnings, hashed alike at every front; 0 means none.
+// Hash of a session id or of a shared prompt prefix, the same at every front; 0 means none.
 using Key = std::uint64_t;
 using Tokens = std::int64_t;
 
-// ---- Settings: what one front is told at its start
-// --------------------------------------------------------------
+// ---- Settings of one front, fixed at its start ----
 
+// A reader prefills prompts, a writer decodes answers.
 enum class Role { reader, writer, both };
+// Effect of executing a request twice: none (safe), none where the RepeatGroup recognises the repeat within
+// its window (keyed), or harmful (unsafe).
 enum class Effect { safe, keyed, unsafe };
+// Engines that recognise a repeat of a keyed request: all, or those of the same zone or cell.
 enum class RepeatGroup { all, zone, cell };
 enum class ListMode { pushed, on_request };
+// Which answers of an engine carry load reports: none, those to probes, or all.
 enum class ReportMode { none, probes, answers };
 enum class ReportField {
   none,
@@ -45,9 +51,9 @@
   Effect effect = Effect::unsafe;
   RepeatGroup group = RepeatGroup::all;
   Duration repeat_window{0};
-  Duration aim{0};
-  Duration aim_per_kilotoken{0};
-  Duration token_aim{0};
+  Duration aim{0};                // target for the first token, from the arrival
+  Duration aim_per_kilotoken{0};  // added to `aim` for each 1000 prompt tokens
+  Duration token_aim{0};          // target for each further token
   Duration deadline{0};
   double worth = 1.0;
   double late_worth = 0.0;
@@ -55,11 +61,11 @@
 
 struct Kind {
   Role role = Role::both;
-  Tokens memory = 0;  // 0: not told
+  Tokens memory = 0;  // KV cache capacity; 0: unknown
 };
 
 struct Tenant {
-  double quota_per_second = 0.0;  // over all fronts; 0: not limited
+  double quota_per_second = 0.0;  // over all fronts; 0: unlimited
 };
 
 struct Limits {
@@ -73,12 +79,12 @@
 
 struct Rules {
   Duration drain_grace{0};
-  Duration cold_time{0};
-  Duration fall_time{0};
-  Duration release_within{0};
+  Duration cold_time{0};       // length of an engine's slow start
+  Duration fall_time{0};       // window over which the slow-start budget is measured
+  Duration release_within{0};  // how long something may be held for a request with no attempt under way
   Duration ask_within{0};
-  double cold_from = 1.0;
-  double overload_factor = 1.0;
+  double cold_from = 1.0;        // share of a warm engine's load that slow start begins with
+  double overload_factor = 1.0;  // multiple of that share which the budget allows
 };
 
 struct Prices {
@@ -97,25 +103,24 @@
   std::vector<RequestClass> classes;
   std::vector<Kind> kinds;
   std::vector<Tenant> tenants;
-  double over_share_worth = 1.0;
+  double over_share_worth = 1.0;  // factor on the worth of requests above their tenant's quota
   Limits limits;
   Rules rules;
   Prices prices;
   ListMode list_mode = ListMode::pushed;
   ReportMode report_mode = ReportMode::none;
   Rating rating = Rating::none;
-  bool claim_ahead = false;
-  bool resume = false;
-  bool writers_read = false;
+  bool claim_ahead = false;   // a writer may be reserved before the prefill ends
+  bool resume = false;        // broken-off answers may be resumed at another engine
+  bool writers_read = false;  // writers can prefill as well
 };
 
-// ---- Events
-// -----------------------------------------------------------------------------------------------------
+// ---- Events ----
 
 enum class EngineState { live, draining, gone };
 enum class ListScope { changes, complete, disk, failed };
 
-// The kind of an entry that names none. It stands for no kind of the settings.
+// Kind of an entry that names none; it matches no kind of the settings.
 constexpr std::uint32_t kKindNotNamed = UINT32_MAX;
 
 struct EngineEntry {
@@ -124,8 +129,8 @@
   std::uint32_t zone = 0;
   std::uint32_t cell = 0;
   std::uint32_t kind = 0;
-  double rating = 1.0;
-  Time started{0};  // 0: long ago
+  double rating = 1.0;  // relative size of the engine
+  Time started{0};      // 0: long ago
 };
 
 struct ListChanged {
@@ -142,10 +147,10 @@
   Tokens prompt_tokens = 0;
   Tokens prefix_tokens = 0;
   Tokens max_output = 0;
-  Duration answer_hint{0};  // 0: not told
+  Duration answer_hint{0};  // expected duration of the answer; 0: unknown
   Time deadline{0};
-  bool resumed = false;  // its answer has begun, at an engine that was lost
-  EngineId lost_at = 0;  // that engine; with `resumed`
+  bool resumed = false;  // its answer began at an engine that was lost
+  EngineId lost_at = 0;  // that engine, if `resumed`; 0: unknown
   bool client_retry = false;
 };
 
@@ -157,8 +162,8 @@
 
 enum class Outcome { served, error, busy, timed_out, not_connected, reset, cancelled, skipped, state_held };
 
-// Whether that end of an attempt proves that it did not execute its request. All other ends count as 'may
-// have run': a class whose repetition does harm is not sent again after them.
+// Whether this outcome of an attempt proves that the request was not executed. After every other outcome it
+// may have been, so a class whose repetition does harm is not sent again.
 [[nodiscard]] constexpr bool proves_not_executed(Outcome outcome) {
   return outcome == Outcome::busy || outcome == Outcome::not_connected || outcome == Outcome::skipped ||
          outcome == Outcome::state_held;
@@ -178,11 +183,12 @@
   Outcome outcome = Outcome::error;
   Duration elapsed{0};
   bool request_over = false;
-  Tokens detail =
-      0;  // served and state_held: prompt tokens found kept; busy: 1 if there was no state to fetch
+  // After served and state_held: cached prompt tokens. After busy: 1 if there was no KV cache to fetch.
+  Tokens detail = 0;
   LoadReport report;
 };
 
+// Answer to ClaimWriter.
 struct PlaceAnswer {
   RequestId id = 0;
   int attempt = 0;
@@ -190,12 +196,13 @@
   bool held = false;
 };
 
-// What was held for the request, a state or a place, has been released: its time was up, and no attempt was
-// known to have arrived. An attempt that is out may still be served.
+// What was held for the request, a KV cache or a reservation, was released because its time had run out and
+// no attempt was known to have arrived. An attempt that has not ended may still be served.
 struct HeldReleased {
   RequestId id = 0;
 };
 
+// The client has gone, or its deadline has passed.
 struct RequestGone {
   RequestId id = 0;
 };
@@ -214,34 +221,38 @@
 using Event = std::variant<ListChanged, RequestArrived, StreamStarted, AttemptEnded, PlaceAnswer,
                            HeldReleased, RequestGone, TimerFired, ProbeEnded>;
 
-// ---- Actions
-// ----------------------------------------------------------------------------------------------------
+// ---- Actions ----
 
 struct Send {
   RequestId id = 0;
   EngineId engine = 0;
-  Duration timeout{0};   // 0: until the client gives up
-  Time by{0};            // its last byte is not to leave later, or else not at all; 0: whenever
-  bool prefill = false;  // meant for an engine that only reads, where an attempt has no effect
+  Duration timeout{0};  // 0: until the client gives up
+  // Latest time at which its last byte may leave; if that cannot be met, it is not sent. 0: no limit.
+  Time by{0};
+  bool prefill = false;  // for a reader, where an attempt has no lasting effect
 };
 struct Cancel {
   RequestId id = 0;
   int attempt = 0;
 };
+// Final answer to a request whose repetition is known to be harmless.
 struct Refuse {
   RequestId id = 0;
-  Duration stay_away{0};
+  Duration stay_away{0};  // advice for the client's next retry; 0: none
 };
+// Final answer to a request that may have been executed.
 struct Fail {
   RequestId id = 0;
 };
 struct Move {
   RequestId id = 0;
 };
+// Reserves memory for the request at a writer before its prefill ends.
 struct ClaimWriter {
   RequestId id = 0;
   EngineId engine = 0;
 };
+// Releases what is held for the request.
 struct Release {
   RequestId id = 0;
 };
@@ -261,10 +272,9 @@
 using Action = std::variant<Send, Cancel, Refuse, Fail, Move, ClaimWriter, Release, Probe, SetTimer,
                             Subscribe, FetchList, Log>;
 
-// ---- The router
-// -------------------------------------------------------------------------------------------------
+// ---- The router ----
 
-// One front's decisions. Holds no clock, thread or I/O; equal settings and events give equal actions.
+// Decisions of one front. It has no clock, threads or I/O; equal settings and events give equal actions.
 class Router {
  public:
   explicit Router(const Settings& settings);
@@ -274,10 +284,10 @@
   Router(const Router&) = delete;
   Router& operator=(const Router&) = delete;
 
-  // Takes the events of one moment, in order of arrival; returns the actions, to be carried out in their
-  // order.
+  // Processes the events of one moment in order of arrival; returns the actions in the order in which the
+  // caller must carry them out.
   [[nodiscard]] std::vector<Action> handle(Time now, const std::vector<Event>& events);
-  // The engines that get nothing for now because they could not be reached or were full.
+  // Engines that get no requests for now because they could not be reached or were full.
   [[nodiscard]] std::vector<EngineId> set_aside(Time now) const;
 
  private:
--- a/simhost/codec.cpp
+++ b/simhost/codec.cpp
@@ -246,7 +246,7 @@
   return event;
 }
 
-// Base of every action line.
+// Fields common to all action lines.
 Json line(const char* type, const std::string& instance) { return {{"type", type}, {"who", instance}}; }
 
 struct Encoder {
@@ -321,7 +321,7 @@
 
 Time time_field(const Json& object, const char* name) { return from_seconds(number(object, name), name); }
 
-// FNV-1a: every front must get the same key for the same text.
+// FNV-1a hash: every front must compute the same key for the same text.
 Key key_of(const std::string& text) {
   if (text.empty()) return 0;
   std::uint64_t hash = 14695981039346656037ULL;
@@ -334,7 +334,7 @@
 
 namespace {
 
-// An index, or the place of a name in `names`.
+// Reads an index, or the position of a name in `names`.
 std::uint32_t place(const Json& row, const char* name, const std::vector<std::string>& names) {
   const Json* value = find(row, name);
   if (value == nullptr || !value->is_string()) return index(row, name, 0);
--- a/simhost/codec.hpp
+++ b/simhost/codec.hpp
@@ -1,4 +1,4 @@
-// Translates between the simulator's JSON wire and the module's types. No decisions here.
+// Translates between the simulator's JSON protocol and the module's types. No decisions here.
 #pragma once
 
 #include <array>
@@ -15,7 +15,7 @@
 
 using Json = nlohmann::json;
 
-// A line that is not what the wire promises; the text says what is wrong with it.
+// Thrown for input that violates the protocol; the message says what is wrong with it.
 class MalformedInput : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
@@ -25,14 +25,15 @@
 std::string text_field(const Json& object, const char* name);
 Time time_field(const Json& object, const char* name);
 
-// Text to the key that every front gets for it; 0 for none.
+// Hashes a text to a key, the same at every front; 0 for an empty text.
 Key key_of(const std::string& text);
 
-// The object of the settings, as the simulator's first message and the conductor's configuration hold it.
+// Decode settings: the options object of the configuration, and the simulator's first message, which contains
+// it.
 Settings decode_options(const Json& options, std::uint64_t seed);
 Settings decode_settings(const Json& init);
 
-// How a list words its entries: the simulator's names or discovery's.
+// Field names and values of a list's entries: those of the simulator or of discovery.
 struct EntryForm {
   const char* engine;
   const char* state;
@@ -42,14 +43,14 @@
   const char* rating;
   const char* started;
   double started_per_second;
-  std::array<const char*, 3> states;  // live, draining, gone
+  std::array<const char*, 3> states;  // values of live, draining, gone
 };
 extern const EntryForm kSimulatorEntry;
-// Zones and kinds come as indices, or as names in these lists. An engine's name becomes its key.
+// Zones and kinds are indices or names from these lists. A textual engine id is hashed to its key.
 EngineEntry decode_entry(const Json& row, const EntryForm& form, const std::vector<std::string>& zones,
                          const std::vector<std::string>& kinds);
 
-// Empty for an event type that the module has no use for.
+// Returns nothing for an event type that the module does not use.
 std::optional<Event> decode_event(const std::string& type, const Json& message);
 std::string encode_action(const std::string& instance, const Action& action);
 std::string encode_crash(const std::string& instance, const std::string& message);
--- a/simhost/host.cpp
+++ b/simhost/host.cpp
@@ -47,7 +47,7 @@
     }
   }
 
-  // Gives each instance its events of the batch in one call, in the order in which the instances first
+  // Passes each instance all its events of the batch in one call, in the order in which the instances first
   // appear.
   void reply() {
     std::vector<std::pair<std::string, std::vector<Event>>> groups;
--- a/simhost/host.hpp
+++ b/simhost/host.hpp
@@ -1,11 +1,11 @@
-// The loop between the wire and the routers: one Router an instance, nothing shared.
+// Runs the simulator's protocol over one Router per instance; the routers share nothing.
 #pragma once
 
 #include <iosfwd>
 
 namespace eiderarch::wire {
 
-// Reads batches until the input ends; returns the exit code.
+// Reads batches until the input ends; returns the exit code: 0, or 1 after malformed input.
 int run_host(std::istream& in, std::ostream& out, std::ostream& err);
 
 }  // namespace eiderarch::wire
