--- a/src/estimates/beliefs.cpp
+++ b/src/estimates/beliefs.cpp
@@ -4,14 +4,16 @@
 
 void Beliefs::take(const ListChanged& e) {
   listed |= e.scope != ListScope::disk;
-  // A whole list: what it does not name is gone, what it names is set below. Once for each: lists are long.
+  // Instances that a complete list does not name are gone. Marking all first and then updating those named
+  // takes one pass; lists are long.
   if (e.scope != ListScope::changes) {
     for (auto& [id, engine] : engines) engine.entry.state = EngineState::gone;
   }
   for (const EngineEntry& entry : e.entries) {
     if (entry.kind >= settings.kinds.size()) continue;
     Engine& engine = engines[entry.engine];
-    // A new start means an empty, cold process: nothing learned of the old one holds.
+    // A new start time means a new process with an empty cache: everything learned about the old one is
+    // dropped.
     if (entry.started != engine.entry.started || entry.state == EngineState::gone) {
       engine.kept = PrefixTable{};
       engine.pace = Pace{};
@@ -41,8 +43,8 @@
   return trend.value * std::exp(-seconds(now - trend.at) / kPaceFade);
 }
 
-// Tokens that wait at a server, of all fronts: as told of late, else what is usual for the role. A probe
-// waits in the same queue, so an answer that is still out says that it is long.
+// Tokens of all fronts queued at an instance: as reported recently, else as is typical for the role. A probe
+// waits in the same queue, so a late answer means a long queue.
 double Beliefs::queue(const Engine& e) const { return e.work + queue_told(e); }
 
 double Beliefs::queue_told(const Engine& e) const {
@@ -51,7 +53,7 @@
   return e.asked && now - e.asked_at >= kAskWait ? std::max(told, jam) : told;
 }
 
-// Part of a prompt found kept at such a place, as answers told for its class.
+// Share of a prompt found cached at an instance of this home rank, learned per class from reports.
 double Beliefs::found_share(std::uint32_t cls, int place) const {
   const auto it = found.find({cls, place});
   return it == found.end() ? kFoundFirst / (1.0 + place) : it->second;
@@ -87,7 +89,7 @@
   return double(tokens) * pace;
 }
 
-// The middle of a role's paces, each faded to the pooled one; kept for the moment.
+// Median of a role's paces, each faded towards the role's recent pace; cached until the next moment.
 double Beliefs::usual_pace(bool readers) const {
   const std::size_t role = readers ? 1 : 0;
   if (usual[role]) return *usual[role];
@@ -129,7 +131,7 @@
   return e.entry.started > Time{0} && now - e.entry.started < settings.rules.cold_time;
 }
 
-// Sends a second that a server of this role and size gets from this front, by what has arrived of late.
+// Requests per second that this front sends to an instance of this role and size, from its recent arrivals.
 double Beliefs::usual_rate(const Engine& e) const {
   const double together = std::max(0.01, e.reads() ? all.readers : all.writers);
   return double(arrivals.size()) / kRateWindow * std::max(0.01, e.entry.rating) / together;
--- a/src/estimates/prefix_table.hpp
+++ b/src/estimates/prefix_table.hpp
@@ -1,5 +1,5 @@
-// What a server is believed to keep, by what was sent there: key to length, bounded, least recently used out
-// first. A container and nothing more; what follows from it is decided in src/router.
+// LRU table of the prefixes that an instance is expected to have cached, from key to length in tokens. A
+// container only; the decisions that use it are in src/router.
 #pragma once
 
 #include <list>
@@ -10,11 +10,11 @@
 
 namespace eiderarch {
 
-constexpr std::size_t kTableKeys = 2000;  // keys a server; some minutes of one front's sessions
+constexpr std::size_t kTableKeys = 2000;  // keys per instance; some minutes of one front's sessions
 
 class PrefixTable {
  public:
-  // Key 0 and lengths below 1 are not kept.
+  // Ignores key 0 and lengths below 1.
   void put(Key key, Tokens length) {
     if (key == 0 || length <= 0) return;
     const auto it = index_.find(key);
@@ -25,7 +25,7 @@
     index_.erase(order_.back().first);
     order_.pop_back();
   }
-  // 0 where nothing is known of the key. Does not count as a use.
+  // Length for the key, 0 if unknown. Does not count as a use.
   [[nodiscard]] Tokens find(Key key) const {
     const auto it = key == 0 ? index_.end() : index_.find(key);
     return it == index_.end() ? 0 : it->second->second;
--- a/src/estimates/quota.hpp
+++ b/src/estimates/quota.hpp
@@ -1,5 +1,5 @@
-// Each tenant's own bucket: what it has sent of late against its share. It counts; what follows is decided
-// elsewhere.
+// Token bucket for each tenant, which measures recent requests against its share. It only counts; src/router
+// decides what follows.
 #pragma once
 
 #include <map>
@@ -8,11 +8,13 @@
 
 namespace eiderarch {
 
-constexpr double kTenantDepth = 3.0;  // requests that a tenant may be ahead of its share at one front
+// Requests that a tenant may be ahead of its share at one front.
+constexpr double kTenantDepth = 3.0;
 
 class Quotas {
  public:
-  // Counts one request; whether it is within the tenant's share, `rate` requests a second at this front.
+  // Counts one request; returns whether it is within the tenant's share of `rate` requests per second at this
+  // front.
   bool within(std::uint32_t tenant, double rate, Time now) {
     const double depth = std::max(rate, kTenantDepth);
     Bucket& b = buckets_.try_emplace(tenant, Bucket{depth, now}).first->second;
