--- a/src/router/arrival.cpp
+++ b/src/router/arrival.cpp
@@ -1,4 +1,5 @@
-// Arrival and waiting, and the ordinary path: the writer first, then the remainder test, then a reader.
+// Arrival, waiting and dispatch: choose the decode instance, prefill there if few tokens are uncached, else
+// choose a prefill instance.
 #include "router/impl.hpp"
 
 namespace eiderarch {
@@ -12,8 +13,9 @@
   r.arrived = now_;
   r.aim = now_ + r.cls.aim + micros(seconds(r.cls.aim_per_kilotoken) * double(e.prompt_tokens) / 1000.0);
   r.priority = r.cls.worth * (within_share(e.tenant) ? 1.0 : s_.over_share_worth);
-  if (r.lost()) r.tried = {e.lost_at};                                        // where its answer broke off
-  if (r.ask.resumed) r.priority *= 1.0 + 1.0 / (1.0 + double(e.max_output));  // the nearest to done first
+  if (r.lost()) r.tried = {e.lost_at};  // the instance where its answer broke off
+  // Resumed answers that are closest to completion come first.
+  if (r.ask.resumed) r.priority *= 1.0 + 1.0 / (1.0 + double(e.max_output));
   known_.arrivals.emplace_back(now_, r.priority);
   while (seconds(now_ - known_.arrivals.front().first) > Beliefs::kRateWindow) known_.arrivals.pop_front();
   const double most = std::clamp(double(known_.arrivals.size()), kRetryLeast, kRetryBurst);
@@ -22,7 +24,7 @@
   waiting_.push_back(e.id);
 }
 
-// What comes beyond a tenant's share is worth little and waits behind the rest.
+// Requests above a tenant's share get a low priority and wait behind the others.
 bool Router::Impl::within_share(std::uint32_t tenant) {
   if (tenant >= s_.tenants.size() || s_.tenants[tenant].quota_per_second <= 0.0) return true;
   return quotas_.within(tenant, s_.tenants[tenant].quota_per_second / std::max(1U, s_.fronts), now_);
@@ -38,19 +40,21 @@
   std::ranges::stable_sort(left, std::ranges::greater(), &Request::priority);
   std::erase_if(left, [this](Request* r) { return possible(*r) ? dispatch(*r) : give_up(*r); });
   for (Request* r : left) {
-    // Late work displaces work that would be on time: what can no longer make its aim is turned away before
-    // its client has waited in vain. Harm: one that would have earned the late worth is lost.
+    // Late work delays work that would be on time, so a request that can no longer meet its aim is refused
+    // before its client waits in vain. Cost: a late answer that would still have earned `late_worth` is lost.
     const bool too_late =
         now_ + micros(known_.usual_pace(false) * kBaseWork) >= r->aim || now_ + kReclaim >= r->ask.deadline;
     if (!too_late || !give_up(*r)) waiting_.push_back(r->ask.id);
   }
 }
 
-// Whether waiting can still lead anywhere: attempts are left and some server listed may write its answer.
+// True if waiting can still lead to an attempt: attempts are left and some listed instance may decode the
+// answer.
 bool Router::Impl::possible(const Request& r) const {
   if (r.ask.request_class >= s_.classes.size() || int(r.attempts.size()) >= s_.limits.max_attempts)
     return false;
-  // Alone, with the budget spent and every server tried, there is nothing to wait for but other arrivals.
+  // With a single front, the retry budget spent and every instance tried, only new arrivals could refill the
+  // budget.
   const bool spent = s_.fronts <= 1 && r.again() && retries_ < 1.0;
   bool read = false, write = false;
   for (const auto& [id, e] : known_.engines) {
@@ -73,8 +77,9 @@
   if (can_read && (short_one || last_try)) return send(r, *writer, false);
   if (!last_try && ask(r, *writer)) return false;
   Engine* reader = last_try ? nullptr : choose_reader(r, *writer);
-  // Exception: with no reader to be had, or where a read costs far more than one in place (unseen
-  // beginnings, surges, slow links), a writer that can read does so. Harm: its running answers slow down.
+  // If no prefill instance is available, or prefill there costs far more than local prefill (uncached
+  // prefixes, load peaks, slow links), a decode instance that can prefill does so. Cost: its running answers
+  // slow down.
   const double local = known_.pace(*writer) * (known_.queue_told(*writer) + kBaseWork + double(remainder));
   const double detour = (writer->role == Role::both ? kDetourBoth : kDetourWriter) * local;
   if (can_read && (reader == nullptr ? home_ == 0 : read_cost(*reader, *writer, r) > detour)) {
@@ -85,7 +90,8 @@
   if (reader == nullptr || unproven(*reader)) return false;
   const double cost = read_cost(*reader, *writer, r);
   if (reader->work <= 0.0 && !admitted(r, *reader, cost)) return give_up(r);
-  // A queue of its own that would make it late is not joined; it waits here, where worth goes first.
+  // A request that would be late behind other requests in an instance's queue waits here instead, where it is
+  // ordered by priority.
   if ((reader->work > 0.0 || now_ - reader->told_at < kTrustTold) && cost > kOnTime * seconds(r.aim - now_))
     return false;
   r.writer = writer->entry.engine;
--- a/src/router/attempts.cpp
+++ b/src/router/attempts.cpp
@@ -1,10 +1,11 @@
-// Sends, their outcomes, and further attempts: what may be repeated, when patience ends, what it may cost.
+// Sending of attempts, their outcomes, and retries: which are allowed and how the retry budget limits them.
 #include "router/impl.hpp"
 
 namespace eiderarch {
 
-// The budget bounds the load of further attempts, lost answers that go on among them. An idle server that
-// no other front can be loading takes one more all the same: a small site's arrivals refill it too late.
+// The retry budget limits the load of retries and of resumed answers. An idle instance that has not been
+// tried and that no other front can load gets one more attempt regardless, because with few arrivals the
+// budget refills too slowly.
 bool Router::Impl::affordable(const Engine& e, const Request& r) const {
   return !r.again() || retries_ >= 1.0 || (s_.fronts <= 1 && e.out == 0 && untried(e, r));
 }
@@ -13,8 +14,8 @@
   return std::ranges::count(r.tried, e.entry.engine) == 0;
 }
 
-// Of a class that may be repeated in a group and a window, every later send counts, also one to a reader: it
-// is a copy of the request that goes out, and only the group knows what it has seen.
+// For a class that may be repeated only in a group and a window, every later attempt counts, also one to a
+// prefill instance: it sends a copy of the request, and only the group can recognise the repeat.
 bool Router::Impl::repeat_allowed(const Engine& e, const Request& r) const {
   if (!r.may_have_run || r.cls.effect == Effect::safe) return true;
   if (r.cls.effect == Effect::unsafe || now_ + kRepeatMargin >= repeat_by(r)) return false;
@@ -27,7 +28,7 @@
   return true;
 }
 
-// The end of the window that the first attempt which may have run has opened.
+// End of the repeat window, which starts with the first attempt that may have executed the request.
 std::optional<Time> Router::Impl::repeat_by(const Request& r) {
   const auto first = std::ranges::find_if(r.attempts, &Attempt::may_have_run);
   if (first == r.attempts.end() || r.cls.effect != Effect::keyed) return std::nullopt;
@@ -72,7 +73,8 @@
   Attempt& a = *attempt;
   if (Engine* engine = known_.find(a.engine)) {
     if (!a.local) took(r, false, e.elapsed);
-    // Memory filling at writers shows in first tokens that are late though the state lay near.
+    // A decode instance whose memory is filling up shows late first tokens even when the KV cache came from
+    // the same cell.
     if (!a.local && !a.link) {
       const bool slow = seconds(e.elapsed) > kSlowFirst * seconds(r.cls.aim);
       fill_ += slow ? -kFillDown : waiting_.empty() ? 0.0 : kFillUp;
@@ -94,7 +96,7 @@
   if (r.stage != Stage::over) r.stage = Stage::streaming;
 }
 
-// An attempt that is out.
+// Returns the attempt if it has not ended, else null.
 Attempt* Router::Impl::find(RequestId id, int number) {
   const auto it = requests_.find(id);
   if (it == requests_.end() || number < 0 || std::size_t(number) >= it->second.attempts.size())
@@ -113,16 +115,17 @@
   e.request_over || r.stage == Stage::over ? close(r) : follow_up(r, a, e);
 }
 
-// Tokens that a prefill instance worked off until a read ended: own work queued before it, and what it did
-// not find kept. Other processes' sends fill its cache, so the own table's claim would tell several times as
-// much, and with it a pace several times too quick.
+// Tokens that a prefill instance processed until a prefill ended: own work queued before it, and the uncached
+// part of its prompt. The instance's report of cached tokens is used, because other processes' requests fill
+// its cache as well: the own table would overstate the work several times, and the pace would look several
+// times too fast.
 double Router::Impl::work_read(const Request& r, const Attempt& a, Tokens found) {
   const double queued = a.ahead - a.work;
   const Tokens kept = std::clamp<Tokens>(found, 0, r.ask.prompt_tokens);
   return queued + kBaseWork + double(r.ask.prompt_tokens - kept);
 }
 
-// Books an ended attempt at its server.
+// Updates an instance's load and estimates after an attempt has ended.
 void Router::Impl::settle(Engine& e, Request& r, const Attempt& a, const AttemptEnded& end, bool streamed) {
   e.out -= 1;
   e.work -= a.work;
@@ -137,7 +140,8 @@
     e.kept.put(r.ask.session, r.ask.prompt_tokens);
   }
   if (o == Outcome::state_held || (o == Outcome::served && a.local)) recount(e, r, a, end.detail);
-  // Full at this moment: others are asked for a while. No state to fetch says nothing of the writer.
+  // A full instance is avoided for a while. A missing KV cache (detail 1) says nothing about the decode
+  // instance.
   if (o == Outcome::busy && end.detail == 0) {
     e.full_until = now_ + kFullMemory;
     took(r, a.reader, std::nullopt);
@@ -146,8 +150,9 @@
   if (broke || (o == Outcome::timed_out && !streamed)) note(e, r, false, o != Outcome::not_connected);
 }
 
-// A flushed or restarted cache keeps less than the table claims: the claim is corrected, and after two in a
-// row that server's whole table is dropped. Harm: two evictions by chance cost it; it refills in seconds.
+// A flushed or restarted cache holds less than the table lists: the entry is corrected, and after two
+// shortfalls in a row the instance's whole table is dropped. Cost: two chance evictions drop it too; it
+// refills in seconds.
 void Router::Impl::recount(Engine& e, const Request& r, const Attempt& a, Tokens found) {
   e.shortfalls = found * 2 >= a.claimed ? 0 : e.shortfalls + 1;
   if (e.shortfalls == 0) return;
@@ -172,16 +177,17 @@
     return;
   }
   if (e.outcome == Outcome::busy && e.detail == 1) {
-    // The reader died or cannot be reached from there: that path is avoided for a while. The state may
-    // still lie in the reader's memory, so it is let go all the same.
+    // The prefill instance died or cannot be reached from there, so that path is avoided for a while. Its
+    // memory may still hold the KV cache, which is therefore released all the same.
     if (const Engine* holder = known_.find(r.holder)) {
       known_.cuts[{holder->entry.cell, known_.engines.at(a.engine).entry.cell}] = now_ + kCutMemory;
     }
     r.tried.pop_back();
     wait_again(r);
   } else if (r.holder != 0) {
-    // What never arrived has not taken the state: its time runs on from before. Symptom: boxes that vanish
-    // take no connection, and after some in a row the state is pinned. Harm: it is read once more elsewhere.
+    // An attempt that never arrived cannot have fetched the KV cache, so its holding time runs on. Otherwise
+    // several unreachable decode instances in a row, which accept no connection, would keep the memory
+    // occupied beyond the release time. Cost: the prompt is prefilled once more elsewhere.
     if (e.outcome != Outcome::not_connected) r.held_at = now_;
     const bool in_time = now_ - r.held_at + e.elapsed < s_.rules.release_within + kReleaseSlack;
     r.stage = Stage::held;
@@ -200,7 +206,7 @@
   for (std::size_t i = 0; i < r.attempts.size(); ++i) {
     Attempt& a = r.attempts[i];
     if (!a.out) continue;
-    // Its client left, but only an answer that was overdue speaks against the server.
+    // The client left first; only an overdue answer counts as a failure of the instance.
     if (!a.cancelled && !streamed && a.late) note(known_.engines.at(a.engine), r, false);
     if (s_.limits.cancel) actions_.emplace_back(Cancel{r.ask.id, int(i)});
   }
--- a/src/router/health.cpp
+++ b/src/router/health.cpp
@@ -1,4 +1,4 @@
-// Which servers may be chosen: listed, not set aside, warm enough, known to run.
+// Which instances may be chosen: listed as live, not ejected, within their slow-start budget, known to run.
 #include "router/impl.hpp"
 
 namespace eiderarch {
@@ -15,8 +15,8 @@
   return e.live() && now_ >= e.aside_until && (!known_.cold(e) || welcome(e, r)) && repeat_allowed(e, r);
 }
 
-// Servers of a role that may get this request, without those full a moment ago and, while others are left,
-// those it has tried. Slow ones are told by score and cost.
+// Instances of a role that may get this request, without those that were full a moment ago and, while others
+// are left, without those already tried. Slow instances are handled by score and cost.
 std::vector<Engine*> Router::Impl::candidates(const Request& r, bool readers) {
   std::vector<Engine*> pool, fresh;
   for (auto& [id, e] : known_.engines) {
@@ -27,9 +27,10 @@
   return fresh.empty() ? pool : fresh;
 }
 
-// Evidence on one server is thin where fronts are many, so it leans on the server's other classes, its
-// role's record with the class and its zone. Symptoms: errors, silence, of one class or of all; a zone that
-// cannot be reached. Harm: where a whole role fails, proven writers get more than the median.
+// With many fronts one front sees few outcomes per instance, so a class's failure share also uses the
+// instance's other classes, the role's record for the class and the zone. This detects errors or silence in
+// one class or all, and a zone that cannot be reached. Cost: where a whole role fails, instances that are
+// known to work get more requests than the median.
 void Router::Impl::note(Engine& e, const Request& r, bool well, bool reached) {
   e.all.add(now_, well);
   e.by_class[r.ask.request_class].add(now_, well);
@@ -39,7 +40,7 @@
   reach(e, well || reached);
 }
 
-// Whether it could be reached. Where not, it is set aside for a while, longer each time.
+// Records whether an instance could be reached. An unreachable one is ejected, for twice as long each time.
 void Router::Impl::reach(Engine& e, bool reached) {
   known_.reached.add(now_, reached);
   if (reached) e.heard = now_;
@@ -48,9 +49,10 @@
   e.aside_for = std::min(kEjectMost, 2 * e.aside_for);
 }
 
-// After failed connections, or with nothing but an old list, a server not heard of lately is asked whether
-// it runs, before a request goes there. True while that is awaited; an answer that stays out sets it aside
-// for a moment. Symptom: after a mass restart the few attempts go to boxes long gone. Harm: a round trip.
+// After failed connections, or with nothing but a list saved on disk, an instance without recent contact is
+// probed before a request goes there. Returns true while the answer is pending; if it is late, the instance
+// is avoided for a moment. Without it, the few attempts after a mass restart go to instances that no longer
+// exist. Cost: one round trip.
 bool Router::Impl::unproven(Engine& e) {
   const bool wary = !known_.listed || known_.reached.failing(now_, 0.0, 3.0) > kWary;
   if (!wary || !blind(e) || (e.heard && now_ - *e.heard < kProof)) return false;
@@ -60,23 +62,24 @@
   return true;
 }
 
-// Of what a server would get if it were warm, the part that the budget allows while it is cold.
+// Share of a warm instance's requests that the slow-start budget allows.
 double Router::Impl::cold_part(const Engine& e) const {
   const double from = std::clamp(s_.rules.cold_from, 0.05, 1.0);
   const double age = std::max(0.0, seconds(now_ - e.entry.started) / seconds(s_.rules.cold_time));
   return kColdShare * std::max(1.0, s_.rules.overload_factor) * (from + (1.0 - from) * age);
 }
 
-// Sends that it may get from this front at once; what a burst here may add to those of the others.
+// Sends that this front may make at once; limits what its burst adds to those of the other fronts.
 double Router::Impl::cold_credit(const Engine& e) const {
   const double rate = cold_part(e) * known_.usual_rate(e);
   return std::min(e.cold_credit + rate * seconds(now_ - e.cold_at),
                   std::max(1.0, rate * seconds(s_.rules.fall_time)));
 }
 
-// A cold server takes that part of the requests that would choose it, by a draw for each: so what all
-// fronts send together follows what a warm peer gets, however seldom one has a request. Where the list has
-// lost servers, the rest is chosen more often: less then. Harm: chance, for which part of the budget stays.
+// An instance in slow start takes that share of the requests that would choose it, by a draw for each
+// request, so all fronts together follow what a warm instance gets, however few requests each front has. The
+// share falls when the list has lost instances, because each remaining one is then chosen more often. Part of
+// the budget is left unused for chance.
 bool Router::Impl::welcome(const Engine& e, const Request& r) const {
   const double left =
       e.reads() ? known_.all.readers / known_.most.readers : known_.all.writers / known_.most.writers;
--- a/src/router/held.cpp
+++ b/src/router/held.cpp
@@ -1,9 +1,9 @@
-// What is held for a request, at a reader or a writer, and how it is handed over or let go.
+// What an instance holds for a request, a KV cache or a reservation, and how it is handed over or released.
 #include "router/impl.hpp"
 
 namespace eiderarch {
 
-// Counts a request at the writer that it is to go to while it is read.
+// Counts a request at its planned decode instance while its prefill runs; `on` adds it, else removes it.
 void Router::Impl::plan(Request& r, bool on) {
   Engine* writer = known_.find(r.writer);
   if (r.planned == on || writer == nullptr) return;
@@ -18,7 +18,7 @@
   it->second.place = e.held;
 }
 
-// Nothing is held any more that a further attempt could fetch: after the one that is out it is read again.
+// No later attempt can fetch the KV cache any more; if the running one fails, the prompt is prefilled again.
 void Router::Impl::on(const HeldReleased& e) {
   const auto it = requests_.find(e.id);
   if (it == requests_.end()) return;
@@ -27,8 +27,8 @@
   r.place = r.claimed = false;
 }
 
-// The state goes to the writer chosen at first, or, if that one has turned bad, to another. With none at
-// hand now it is let go at once rather than left pinned, and the request waits.
+// The KV cache goes to the planned decode instance or, if that one has failed, to another. If none is
+// available now, the KV cache is released at once instead of occupying memory while the request waits.
 void Router::Impl::hand_over(Request& r) {
   Engine* planned = known_.find(r.writer);
   const bool tried = std::ranges::count(r.tried, r.writer) > 0;
@@ -44,11 +44,11 @@
   plan(r, false);
   let_go(r);
   r.stage = Stage::waiting;
-  waiting_.push_back(r.ask.id);  // judged before this moment is over
+  waiting_.push_back(r.ask.id);  // dispatched again or ended within this call of handle()
 }
 
 void Router::Impl::let_go(Request& r) {
-  // A read that broke off may have ended there all the same, its news lost on the way.
+  // A prefill whose connection broke off may have completed without its result arriving here.
   if (r.claimed || r.was_read()) actions_.emplace_back(Release{r.ask.id});
   r.holder = 0;
   r.place = r.claimed = false;
@@ -56,7 +56,7 @@
 
 void Router::Impl::close(Request& r) {
   plan(r, false);
-  // A read that ends after its request has left a state behind.
+  // A prefill that ends after its request leaves a held KV cache behind.
   if (r.was_read() && r.stage != Stage::streaming) actions_.emplace_back(Release{r.ask.id});
   r.holder = 0;
   r.stage = Stage::over;
--- a/src/router/impl.hpp
+++ b/src/router/impl.hpp
@@ -1,5 +1,5 @@
-// The decisions of one front. Each concern has its own file in this folder, named above its functions; what
-// is believed of the servers is in src/estimates. The design is in docs/design.md.
+// Decisions of one front. Each file in this folder implements one concern, named above its functions.
+// Estimates of the instances' state are in src/estimates; docs/design.md describes the design.
 #pragma once
 
 #include <map>
@@ -100,9 +100,9 @@
   Quotas quotas_;
   std::map<RequestId, Request> requests_;
   std::vector<RequestId> waiting_;
-  EngineId home_ = 0;                  // the home reader of the request in hand
-  std::vector<EngineId> homes_;        // those of its beginning
-  std::optional<std::uint32_t> near_;  // the cell in which its writer is preferred
+  EngineId home_ = 0;                  // home prefill instance of the request being dispatched
+  std::vector<EngineId> homes_;        // home prefill instances of its prefix
+  std::optional<std::uint32_t> near_;  // cell in which its decode instance is preferred
   std::vector<Action> actions_;
 };
 
--- a/src/router/patience.cpp
+++ b/src/router/patience.cpp
@@ -1,4 +1,4 @@
-// The sweep: attempts that take too long are noticed, and called off where another server would be quicker.
+// The periodic sweep: records overdue attempts and cancels those that another instance would finish sooner.
 #include "router/impl.hpp"
 
 namespace eiderarch {
@@ -10,7 +10,8 @@
     resubscribe_.reset();
     actions_.emplace_back(Subscribe{});
   }
-  // Silent or stuck: what is still out longer than its server's pace allows counts before it ends.
+  // Unfinished attempts count before they end: one that is out longer than its instance's pace allows raises
+  // that pace.
   for (auto& [id, engine] : known_.engines) engine.pace.overdue = 0.0;
   for (auto& [cell, link] : known_.links) link.overdue = 0.0;
   for (auto& [id, r] : requests_) {
@@ -28,19 +29,21 @@
   }
 }
 
-// An attempt that takes several times what another server would is called off and tried there: a server
-// that is slow, silent or cut off. Measured against others, so that it rests when all are slow, and one not
-// heard of late is trusted by half; a budget bounds it.
+// Cancels an attempt that takes several times what another instance would need, and retries it there: the
+// instance may be slow, silent or cut off. Comparing with the others prevents cancellations when all are
+// slow; an instance without recent samples is taken to be up to twice as slow, and the retry budget limits
+// the total.
 void Router::Impl::lose_patience(Request& r) {
   Attempt& a = r.attempts.back();
   const bool harmless = a.reader || r.cls.effect == Effect::safe;
   if (a.cancelled || !s_.limits.cancel || !harmless || retries_ < 1.0) return;
   if (r.stage != Stage::reading && r.stage != Stage::writing) return;
-  // Where what it was to fetch has been released, the prompt is read once more before another can answer.
+  // If the held KV cache has been released, the prompt must be prefilled again before another instance can
+  // answer.
   const bool read_again = !a.reader && !a.local && r.holder == 0;
   if (int(r.attempts.size()) + (a.reader || read_again ? 2 : 1) > s_.limits.max_attempts) return;
   const double waited = seconds(now_ - a.sent);
-  // By the role's late pace or its middle one, whichever is longer, so that it rests when all are slow.
+  // The longer of the role's recent pace and its median pace, so that nothing is cancelled when all are slow.
   const double usual = std::max(known_.paces[a.reader ? 1 : 0].value, known_.usual_pace(a.reader)) * a.ahead;
   const double least = std::max(seconds(kPatienceLeast), kPatienceAim * seconds(r.aim - r.arrived));
   if (waited < std::max(least, kPatience * usual)) return;
--- a/src/router/reader.cpp
+++ b/src/router/reader.cpp
@@ -1,10 +1,11 @@
-// The choice of a reader: home readers, what a read costs there, and whom to ask for a report first.
+// The choice of a prefill instance: home instances, the cost of a prefill, and which instances to probe
+// first.
 #include "router/impl.hpp"
 
 namespace eiderarch {
 
-// A beginning has a few home readers by rendezvous hash and a session one of these, so that fronts which
-// never talk, and to which a session comes in turn, read it where it is kept.
+// Each prefix has a few home instances by rendezvous hash, and each session one of these. Fronts that do not
+// communicate, and that serve a session in turn, thus prefill it where its prefix is cached.
 void Router::Impl::find_home(const Request& r) {
   std::vector<std::pair<double, EngineId>> ranks;
   for (const auto& [id, e] : known_.engines) {
@@ -23,20 +24,21 @@
     homes_.push_back(it->second);
   }
   home_ = std::min_element(ranks.begin(), homes)->second;
-  // Cells differ in their mix of roles: one rich in readers gives the part away that its writers, loaded
-  // somewhat over an even share, could not bear.
+  // Cells differ in their mix of roles. The sessions of a cell with many prefill instances prefer its decode
+  // instances only up to somewhat more than an even load on these; the rest goes to other cells.
   const std::uint32_t cell = known_.find(home_)->entry.cell;
   const double per_reader = known_.cells[cell].writers / known_.cells[cell].readers;
   const double part = kCrowd * per_reader * known_.all.readers / std::max(1e-9, known_.all.writers);
   if (unit(mix(r.ask.session, cell + 1)) < part) near_ = cell;
 }
 
-// Ranks readers of other zones after all of the own, where a crossing is dear.
+// Ranks instances of other zones after all of the own zone if crossing zones is expensive.
 double Router::Impl::away(const Engine& e) const {
   return e.entry.zone == s_.zone || s_.prices.cross_zone <= kCrossDear ? 0.0 : 1e6;
 }
 
-// In seconds: the wait for own work there, the read of what is not kept, the move to the writer.
+// The cost in seconds: waiting for own work there, prefilling the uncached tokens, moving the KV cache to the
+// decode instance.
 Engine* Router::Impl::choose_reader(const Request& r, const Engine& writer) {
   Engine* best = nullptr;
   double best_cost = 0.0;
@@ -51,9 +53,10 @@
   return best;
 }
 
-// Where own sends tell too little of the queues, the session's home reader is asked before the choice and,
-// if its queue makes it worth it, the other homes and one more, drawn. True while answers are awaited.
-// Symptom: a hot beginning waits at one reader beside idle ones. Harm: a probe's work, price and time.
+// If own traffic is too sparse to estimate the queues, probes the session's home instance before the choice
+// and, if its queue makes that worthwhile, the prefix's other homes and one more, drawn at random. Returns
+// true while answers are pending. Without it, a popular prefix queues at one prefill instance beside idle
+// ones. Cost: the probe's work, price and time.
 bool Router::Impl::ask(const Request& r, const Engine& writer) {
   bool awaited = false;
   Engine* const home = known_.find(home_);
@@ -73,14 +76,15 @@
   return awaited;
 }
 
-// Asks for a report where own sends tell too little; true while one is awaited.
+// Requests a load report if own traffic is too sparse; returns true while it is pending.
 bool Router::Impl::listen(Engine& e) {
   if (!blind(e) || s_.report_mode == ReportMode::none) return false;
   probe(e);
   return e.asked && now_ - e.asked_at < kAskWait;
 }
 
-// Among many fronts one that seldom sends to a server learns little of it from its own load and failures.
+// With many fronts, a front that seldom sends to an instance learns little about it from its own load and
+// failures.
 bool Router::Impl::blind(const Engine& e) const {
   return s_.limits.probes && s_.fronts >= kManyFronts && known_.usual_rate(e) < kSeldom;
 }
@@ -101,7 +105,7 @@
          (e.entry.zone == s_.zone ? 0.0 : kCrossPrice * s_.prices.cross_zone);
 }
 
-// The time of a move, and what it costs by the settings' price for tokens moved out of their cell.
+// Transfer time plus the configured price of moving tokens out of their cell, in seconds.
 double Router::Impl::move_cost(const Engine& from, const Engine& to, Tokens tokens) const {
   const double price =
       from.entry.cell == to.entry.cell
@@ -110,7 +114,7 @@
   return known_.move_time(from, to, tokens) + price * double(tokens);
 }
 
-// 0: home reader of its session, 1: another home of its beginning, 2: elsewhere.
+// 0: home instance of the session, 1: another home of its prefix, 2: any other.
 int Router::Impl::place_of(EngineId reader) const {
   if (reader == home_) return 0;
   return std::ranges::count(homes_, reader) > 0 ? 1 : 2;
--- a/src/router/router.cpp
+++ b/src/router/router.cpp
@@ -1,4 +1,4 @@
-// One moment of a front: its events in order of arrival, then what waits.
+// Processes the events of one moment in order of arrival, then dispatches the waiting requests.
 #include <utility>
 
 #include "router/impl.hpp"
--- a/src/router/writer.cpp
+++ b/src/router/writer.cpp
@@ -1,14 +1,16 @@
-// The choice of a writer.
+// The choice of a decode instance.
 #include "router/impl.hpp"
 
 namespace eiderarch {
 
-// Score: prefix match plus low load. A match never wins at a server with more of this front's requests than
-// the median, for only those up to the median are compared. Ties go by rendezvous hash.
+// Score: cached share of the prompt minus load. Only instances with at most the median number of this front's
+// requests are compared, so a cache match never outweighs a load above the median. The rendezvous hash breaks
+// ties.
 Engine* Router::Impl::choose_writer(const Request& r, const Engine* holder) {
   std::vector<Engine*> pool = candidates(r, false);
-  // Symptom: a box that fails at once is always idle, and where the others have no room it gets all. Harm: a
-  // request waits, or is refused with advice, that would have had a small chance there.
+  // An instance that fails at once is always idle and would get every request while the others are full, so
+  // one that fails mostly is excluded while others work. Cost: a request waits, or is refused with retry
+  // advice, that would have had a small chance there.
   const double usual_doubt = known_.role_doubt(false, r.ask.request_class);
   const auto hopeless = [&](const Engine& e) {
     return known_.doubt(e, r.ask.request_class, usual_doubt) > kHopeless;
@@ -19,7 +21,7 @@
   });
   if (some_work) std::erase_if(pool, [&](const Engine* e) { return hopeless(*e); });
   if (pool.empty()) return nullptr;
-  // Of a state that waits the price is in the move, from wherever it lies.
+  // For a held KV cache, the distance is priced by its transfer cost instead.
   const bool near =
       holder == nullptr && std::ranges::any_of(pool, [&](const Engine* e) { return near_room(*e); });
   if (near) std::erase_if(pool, [&](const Engine* e) { return !near_room(*e); });
@@ -32,7 +34,8 @@
   const auto middle = counts.begin() + std::ptrdiff_t((counts.size() - 1) / 2);
   std::nth_element(counts.begin(), middle, counts.end());
   const double median = known_.usual_pace(false);
-  mean = std::max(mean, footprint(r));  // below one request an even share says nothing
+  // With less than one request per instance the mean says nothing.
+  mean = std::max(mean, footprint(r));
   Engine* best = nullptr;
   double best_score = 0.0;
   for (Engine* e : pool) {
@@ -54,15 +57,17 @@
   return best;
 }
 
-// Where a crossing between zones is dear, servers of the own zone come first while they say that they have
-// room. Symptom: all is served in time, yet every second request pays for crossing and for a far move. Harm:
-// none where servers tell nothing, for then this rests; a zone's rush fills its own servers to kRoomFull.
+// Where crossing zones is expensive, instances of the own zone come first while their reports show free
+// memory. Without it, all requests are served in time, yet every second one pays for a crossing and a long
+// transfer. Without reports this rule has no effect; a load peak in a zone fills its own instances up to
+// kLocalMemoryLimit.
 bool Router::Impl::near_room(const Engine& e) const {
   return s_.prices.cross_zone > kCrossDear && e.entry.zone == s_.zone && now_ - e.share_at < kRoomAge &&
          known_.filled(e) < kRoomFull && known_.pace(e) < kRoomPace * known_.usual_pace(e.reads());
 }
 
-// Ties spread by session, each server by its size: a hot beginning does not draw all fronts to one writer.
+// Ties are spread by session, weighted by instance size: a popular prefix does not draw all fronts to one
+// decode instance.
 bool Router::Impl::better(double score, const Engine& e, double best, const Engine& b, const Request& r) {
   if (std::abs(score - best) > kTie) return score > best;
   return rank(r.ask.session, e) > rank(r.ask.session, b);
