--- a/src/estimates/figures.hpp
+++ b/src/estimates/figures.hpp
@@ -13,9 +13,9 @@
 // Weight of a new sample in a trend over a role; five samples show an overload.
 constexpr double kTrendGain = 0.2;
 // Seconds; a pace without samples drifts back to its peers' pace in about this time.
-constexpr double kPaceFade = 8.0;
+constexpr double kPaceFadeSeconds = 8.0;
 // Seconds; longer than one front's gap between sends to one instance.
-constexpr double kRecordFade = 20.0;
+constexpr double kOutcomeFadeSeconds = 20.0;
 
 inline double seconds(Duration d) { return static_cast<double>(d.count()) / 1e6; }
 inline Duration micros(double s) {
@@ -30,22 +30,22 @@
   return x ^ (x >> 31);
 }
 
-inline double unit(std::uint64_t hash) { return (double(hash >> 11) + 0.5) / 9007199254740992.0; }
+inline double unit_interval(std::uint64_t hash) { return (double(hash >> 11) + 0.5) / 9007199254740992.0; }
 
 // Outcomes of requests at an instance, over a role or in a zone; old outcomes fade.
-struct Record {
-  double good = 0.0, bad = 0.0;
-  Time at{0};
-  void add(Time now, bool well) {
-    const double fade = std::exp(-seconds(now - at) / kRecordFade);
-    good = good * fade + (well ? 1.0 : 0.0);
-    bad = bad * fade + (well ? 0.0 : 1.0);
-    at = now;
+struct OutcomeRecord {
+  double successes = 0.0, failures = 0.0;
+  Time updated_at{0};
+  void add(Time now, bool success) {
+    const double fade = std::exp(-seconds(now - updated_at) / kOutcomeFadeSeconds);
+    successes = successes * fade + (success ? 1.0 : 0.0);
+    failures = failures * fade + (success ? 0.0 : 1.0);
+    updated_at = now;
   }
   // Failure share, where `prior` counts as much as `weight` outcomes.
-  [[nodiscard]] double failing(Time now, double guess, double weight) const {
-    const double fade = std::exp(-seconds(now - at) / kRecordFade);
-    return (bad * fade + guess * weight) / ((good + bad) * fade + weight);
+  [[nodiscard]] double failure_share(Time now, double prior, double weight) const {
+    const double fade = std::exp(-seconds(now - updated_at) / kOutcomeFadeSeconds);
+    return (failures * fade + prior * weight) / ((successes + failures) * fade + weight);
   }
 };
 
@@ -54,26 +54,26 @@
 struct Pace {
   double value = 0.0;    // 0: no sample yet
   double overdue = 0.0;  // lower bound from attempts that have not ended
-  Time heard{0};
-  [[nodiscard]] double shown(Time now, double usual) const {
-    const double fade = value > 0.0 ? std::exp(-seconds(now - heard) / kPaceFade) : 0.0;
-    return std::max(usual + (value - usual) * fade, overdue);
+  Time sampled_at{0};
+  [[nodiscard]] double estimate(Time now, double typical) const {
+    const double fade = value > 0.0 ? std::exp(-seconds(now - sampled_at) / kPaceFadeSeconds) : 0.0;
+    return std::max(typical + (value - typical) * fade, overdue);
   }
-  void sample(Time now, double usual, double heard_now) {
-    const double before = value > 0.0 ? shown(now, usual) : usual;
-    value = before + kPaceGain * (std::min(heard_now, 10.0 * before) - before);
-    heard = now;
+  void sample(Time now, double typical, double latest) {
+    const double before = value > 0.0 ? estimate(now, typical) : typical;
+    value = before + kPaceGain * (std::min(latest, 10.0 * before) - before);
+    sampled_at = now;
   }
 };
 
 // Geometric mean of recent samples; after a gap the next sample counts more.
 struct Trend {
   double value = 0.0;
-  Time at{0};
-  void add(Time now, double heard) {
-    const double gain = 1.0 - (1.0 - kTrendGain) * std::exp(-seconds(now - at) / kPaceFade);
-    value *= std::pow(std::max(heard, 1e-9) / value, gain);
-    at = now;
+  Time updated_at{0};
+  void add(Time now, double latest) {
+    const double gain = 1.0 - (1.0 - kTrendGain) * std::exp(-seconds(now - updated_at) / kPaceFadeSeconds);
+    value *= std::pow(std::max(latest, 1e-9) / value, gain);
+    updated_at = now;
   }
 };
 
--- a/src/estimates/prefix_table.hpp
+++ b/src/estimates/prefix_table.hpp
@@ -10,7 +10,7 @@
 
 namespace eiderarch {
 
-constexpr std::size_t kTableKeys = 2000;  // keys per instance; some minutes of one front's sessions
+constexpr std::size_t kMaxPrefixes = 2000;  // keys per instance; some minutes of one front's sessions
 
 class PrefixTable {
  public:
@@ -21,7 +21,7 @@
     if (it != index_.end()) order_.erase(it->second);
     order_.emplace_front(key, length);
     index_[key] = order_.begin();
-    if (index_.size() <= kTableKeys) return;
+    if (index_.size() <= kMaxPrefixes) return;
     index_.erase(order_.back().first);
     order_.pop_back();
   }
--- a/src/estimates/quota.hpp
+++ b/src/estimates/quota.hpp
@@ -9,17 +9,17 @@
 namespace eiderarch {
 
 // Requests that a tenant may be ahead of its share at one front.
-constexpr double kTenantDepth = 3.0;
+constexpr double kTenantBurst = 3.0;
 
 class Quotas {
  public:
   // Counts one request; returns whether it is within the tenant's share of `rate` requests per second at this
   // front.
   bool within(std::uint32_t tenant, double rate, Time now) {
-    const double depth = std::max(rate, kTenantDepth);
+    const double depth = std::max(rate, kTenantBurst);
     Bucket& b = buckets_.try_emplace(tenant, Bucket{depth, now}).first->second;
-    b.tokens = std::min(depth, b.tokens + rate * seconds(now - b.at));
-    b.at = now;
+    b.tokens = std::min(depth, b.tokens + rate * seconds(now - b.updated_at));
+    b.updated_at = now;
     if (b.tokens < 1.0) return false;
     b.tokens -= 1.0;
     return true;
@@ -28,7 +28,7 @@
  private:
   struct Bucket {
     double tokens = 0.0;
-    Time at{0};
+    Time updated_at{0};
   };
   std::map<std::uint32_t, Bucket> buckets_;
 };
--- a/src/router/impl.hpp
+++ b/src/router/impl.hpp
@@ -14,7 +14,7 @@
 
 class Router::Impl {
  public:
-  explicit Impl(const Settings& settings) : s_(settings), known_(s_) {}
+  explicit Impl(const Settings& settings) : settings_(settings), estimates_(settings_) {}
   std::vector<Action> handle(Time now, const std::vector<Event>& events);
   [[nodiscard]] std::vector<EngineId> set_aside(Time now) const;
 
@@ -23,86 +23,87 @@
   void on(const RequestArrived& e);
   bool within_share(std::uint32_t tenant);
   void dispatch_waiting();
-  [[nodiscard]] bool possible(const Request& r) const;
+  [[nodiscard]] bool can_be_served(const Request& r) const;
   bool dispatch(Request& r);
 
   // ---- writer.cpp ----
-  Engine* choose_writer(const Request& r, const Engine* holder);
-  static bool better(double score, const Engine& e, double best, const Engine& b, const Request& r);
-  [[nodiscard]] bool near_room(const Engine& e) const;
-  [[nodiscard]] bool memory_room(const Engine& e, const Request& r) const;
+  Instance* choose_decode_instance(const Request& r, const Instance* cache_holder);
+  static bool ranks_before(double score, const Instance& e, double best, const Instance& b, const Request& r);
+  [[nodiscard]] bool has_local_capacity(const Instance& e) const;
+  [[nodiscard]] bool has_memory_for(const Instance& e, const Request& r) const;
 
   // ---- reader.cpp ----
-  void find_home(const Request& r);
-  Engine* choose_reader(const Request& r, const Engine& writer);
-  [[nodiscard]] double away(const Engine& e) const;
-  bool ask(const Request& r, const Engine& writer);
-  bool listen(Engine& e);
-  [[nodiscard]] bool blind(const Engine& e) const;
-  void probe(Engine& e);
-  double read_cost(const Engine& e, const Engine& writer, const Request& r, bool idle = false) const;
-  [[nodiscard]] double move_cost(const Engine& from, const Engine& to, Tokens tokens) const;
-  [[nodiscard]] int place_of(EngineId reader) const;
+  void choose_home_instances(const Request& r);
+  Instance* choose_prefill_instance(const Request& r, const Instance& decode_instance);
+  [[nodiscard]] double zone_penalty(const Instance& e) const;
+  bool await_queue_reports(const Request& r, const Instance& decode_instance);
+  bool await_report(Instance& e);
+  [[nodiscard]] bool lacks_samples(const Instance& e) const;
+  void probe(Instance& e);
+  double prefill_cost(const Instance& e, const Instance& decode_instance, const Request& r,
+                      bool without_queue = false) const;
+  [[nodiscard]] double transfer_cost(const Instance& from, const Instance& to, Tokens tokens) const;
+  [[nodiscard]] int home_rank_of(EngineId prefill_instance) const;
 
   // ---- admission.cpp ----
-  [[nodiscard]] bool admitted(const Request& r, const Engine& e, double cost) const;
-  bool give_up(Request& r);
-  void took(const Request& r, bool reading, std::optional<Duration> time);
+  [[nodiscard]] bool admitted(const Request& r, const Instance& e, double cost) const;
+  bool answer_unserved(Request& r);
+  void record_stage_time(const Request& r, bool prefill, std::optional<Duration> time);
 
   // ---- health.cpp ----
   void on(const ListChanged& e);
-  [[nodiscard]] bool usable(const Engine& e, const Request& r) const;
-  std::vector<Engine*> candidates(const Request& r, bool readers);
-  void note(Engine& e, const Request& r, bool well, bool reached = true);
-  void reach(Engine& e, bool reached);
-  bool unproven(Engine& e);
-  [[nodiscard]] double cold_part(const Engine& e) const;
-  [[nodiscard]] double cold_credit(const Engine& e) const;
-  [[nodiscard]] bool welcome(const Engine& e, const Request& r) const;
+  [[nodiscard]] bool usable(const Instance& e, const Request& r) const;
+  std::vector<Instance*> candidates(const Request& r, bool prefill);
+  void record_outcome(Instance& e, const Request& r, bool success, bool reached = true);
+  void record_reachability(Instance& e, bool reached);
+  bool awaits_liveness_probe(Instance& e);
+  [[nodiscard]] double slow_start_share(const Instance& e) const;
+  [[nodiscard]] double slow_start_credit(const Instance& e) const;
+  [[nodiscard]] bool allowed_in_slow_start(const Instance& e, const Request& r) const;
   void on(const ProbeEnded& e);
 
   // ---- attempts.cpp ----
-  [[nodiscard]] bool affordable(const Engine& e, const Request& r) const;
-  [[nodiscard]] static bool untried(const Engine& e, const Request& r);
-  [[nodiscard]] bool repeat_allowed(const Engine& e, const Request& r) const;
-  [[nodiscard]] static std::optional<Time> repeat_by(const Request& r);
-  bool send(Request& r, Engine& e, bool to_reader);
+  [[nodiscard]] bool within_retry_budget(const Instance& e, const Request& r) const;
+  [[nodiscard]] static bool untried(const Instance& e, const Request& r);
+  [[nodiscard]] bool repeat_allowed(const Instance& e, const Request& r) const;
+  [[nodiscard]] static std::optional<Time> repeat_deadline(const Request& r);
+  bool send(Request& r, Instance& e, bool to_prefill);
   void on(const StreamStarted& e);
-  Attempt* find(RequestId id, int number);
+  Attempt* find_active_attempt(RequestId id, int number);
   void on(const AttemptEnded& e);
-  [[nodiscard]] static double work_read(const Request& r, const Attempt& a, Tokens found);
-  void settle(Engine& e, Request& r, const Attempt& a, const AttemptEnded& end, bool streamed);
-  static void recount(Engine& e, const Request& r, const Attempt& a, Tokens found);
+  [[nodiscard]] static double prefill_work(const Request& r, const Attempt& a, Tokens reported_cached);
+  void record_end(Instance& e, Request& r, const Attempt& a, const AttemptEnded& end, bool streamed);
+  static void correct_prefix_table(Instance& e, const Request& r, const Attempt& a, Tokens reported_cached);
   void follow_up(Request& r, Attempt& a, const AttemptEnded& e);
   void on(const RequestGone& e);
 
   // ---- patience.cpp ----
   void on(const TimerFired& e);
-  void lose_patience(Request& r);
+  void cancel_if_overdue(Request& r);
 
   // ---- held.cpp ----
-  void plan(Request& r, bool on);
+  void count_planned(Request& r, bool on);
   void on(const PlaceAnswer& e);
   void on(const HeldReleased& e);
   void hand_over(Request& r);
-  void wait_again(Request& r);
-  void let_go(Request& r);
-  void close(Request& r);
+  void requeue(Request& r);
+  void release_held(Request& r);
+  void finish(Request& r);
 
-  const Settings s_;
-  Beliefs known_;
+  const Settings settings_;
+  Estimates estimates_;
   Time now_{0};
   bool started_ = false;
-  bool armed_ = false;
-  std::optional<Time> resubscribe_;
-  double retries_ = kRetryLeast;
-  double fill_ = 0.95;
+  bool sweep_armed_ = false;
+  std::optional<Time> resubscribe_at_;
+  double retry_budget_ = kMinRetryBudget;  // retries that may be sent now
+  double memory_fill_ = 0.95;  // own tokens allowed at a decode instance over the even share of its memory
   Quotas quotas_;
   std::map<RequestId, Request> requests_;
   std::vector<RequestId> waiting_;
-  EngineId home_ = 0;                  // home prefill instance of the request being dispatched
-  std::vector<EngineId> homes_;        // home prefill instances of its prefix
-  std::optional<std::uint32_t> near_;  // cell in which its decode instance is preferred
+  EngineId home_instance_ = 0;                   // home prefill instance of the request being dispatched
+  std::vector<EngineId> home_instances_;         // home prefill instances of its prefix
+  std::optional<std::uint32_t> preferred_cell_;  // cell in which its decode instance is preferred
   std::vector<Action> actions_;
 };
 
--- a/tests/estimates_test.cpp
+++ b/tests/estimates_test.cpp
@@ -1,4 +1,4 @@
-// What is only believed of the servers: each estimate alone, beside a plain twin where it has one.
+// Each estimate by itself, compared with a simple reference implementation where there is one.
 #include <gtest/gtest.h>
 
 #include <list>
@@ -15,23 +15,23 @@
 TEST(PrefixTable, IsALeastRecentlyUsedListOfBoundedLength) {
   Draw draw(11);
   PrefixTable table;
-  std::list<std::pair<Key, Tokens>> plain;  // the latest in front
+  std::list<std::pair<Key, Tokens>> reference;  // most recently used first
   for (int i = 0; i < 20000; ++i) {
     const Key key = Key(draw.pick(0, 3000));
     const Tokens length = draw.pick(-5, 4000);
     table.put(key, length);
     if (key != 0 && length > 0) {
-      plain.remove_if([key](const auto& kept) { return kept.first == key; });
-      plain.emplace_front(key, length);
-      if (plain.size() > kTableKeys) plain.pop_back();
+      reference.remove_if([key](const auto& kept) { return kept.first == key; });
+      reference.emplace_front(key, length);
+      if (reference.size() > kMaxPrefixes) reference.pop_back();
     }
     const Key asked = Key(draw.pick(0, 3000));
-    const auto it = std::ranges::find(plain, asked, &std::pair<Key, Tokens>::first);
-    ASSERT_EQ(table.find(asked), it == plain.end() ? 0 : it->second);
+    const auto it = std::ranges::find(reference, asked, &std::pair<Key, Tokens>::first);
+    ASSERT_EQ(table.find(asked), it == reference.end() ? 0 : it->second);
   }
 }
 
-TEST(Quotas, NoWindowHoldsMoreThanTheShareAndWhatWasSavedUp) {
+TEST(Quotas, NoWindowExceedsTheShareAndTheBurst) {
   for (std::uint32_t seed = 1; seed <= 20; ++seed) {
     Draw draw(seed);
     Quotas quotas;
@@ -41,60 +41,61 @@
     for (int i = 0; i < 3000; ++i) {
       now += draw.time(1, 200);
       if (quotas.within(3, rate, now)) taken.push_back(now);
-      quotas.within(4, rate, now);  // another's use costs this one nothing
+      quotas.within(4, rate, now);  // another tenant's requests do not count
     }
-    const double depth = std::max(rate, kTenantDepth);
+    const double depth = std::max(rate, kTenantBurst);
     for (std::size_t from = 0; from < taken.size(); from += 7) {
       for (std::size_t to = from; to < taken.size(); to += 13) {
         ASSERT_LE(double(to - from), depth + rate * seconds(taken[to] - taken[from]) + 1e-6);
       }
     }
-    // Nor is a tenant held under its share: it asked ten times as often.
+    // The tenant is not held below its share either: it asked ten times as often.
     EXPECT_GE(double(taken.size()), 0.95 * rate * seconds(taken.back() - taken.front()) - depth);
   }
 }
 
-TEST(Record, LeansOnTheGuessUntilItHasItsOwnAndForgets) {
-  Record record;
-  EXPECT_DOUBLE_EQ(record.failing(1s, 0.25, 2.0), 0.25);
+TEST(OutcomeRecord, StartsAtThePriorAndForgetsOldOutcomes) {
+  OutcomeRecord record;
+  EXPECT_DOUBLE_EQ(record.failure_share(1s, 0.25, 2.0), 0.25);
   for (int i = 0; i < 50; ++i) record.add(1s, i % 2 == 0);
-  EXPECT_NEAR(record.failing(1s, 0.0, 2.0), 0.48, 0.01);
-  EXPECT_NEAR(record.failing(600s, 0.25, 2.0), 0.25, 0.01);
+  EXPECT_NEAR(record.failure_share(1s, 0.0, 2.0), 0.48, 0.01);
+  EXPECT_NEAR(record.failure_share(600s, 0.25, 2.0), 0.25, 0.01);
 }
 
-TEST(Pace, OneOutlierMovesItAFifthOfTenTimesAndFadesBack) {
+TEST(Pace, AnOutlierIsCappedAtTenTimesThePaceAndFades) {
   Pace pace;
   for (int i = 0; i < 60; ++i) pace.sample(1s, 1.0, 2.0);
-  EXPECT_NEAR(pace.shown(1s, 1.0), 2.0, 0.01);
+  EXPECT_NEAR(pace.estimate(1s, 1.0), 2.0, 0.01);
   pace.sample(1s, 1.0, 1e9);
-  EXPECT_LE(pace.shown(1s, 1.0), 2.0 + kPaceGain * 20.0);
-  EXPECT_NEAR(pace.shown(200s, 1.0), 1.0, 0.01);
-  pace.overdue = 7.0;  // what is still out says more than what was heard
-  EXPECT_DOUBLE_EQ(pace.shown(200s, 1.0), 7.0);
+  EXPECT_LE(pace.estimate(1s, 1.0), 2.0 + kPaceGain * 20.0);
+  EXPECT_NEAR(pace.estimate(200s, 1.0), 1.0, 0.01);
+  pace.overdue = 7.0;  // attempts that have not ended set a lower bound
+  EXPECT_DOUBLE_EQ(pace.estimate(200s, 1.0), 7.0);
 }
 
-TEST(Trend, FollowsWhatIsHeardAndAGapCountsMore) {
-  Trend steady{1.0}, rested{1.0};
-  for (int i = 0; i < 40; ++i) steady.add(1s, 4.0);
-  EXPECT_NEAR(steady.value, 4.0, 0.01);
-  rested.add(1s, 1.0);
-  Trend soon = rested;
-  soon.add(1s, 4.0);
-  rested.add(100s, 4.0);
-  EXPECT_GT(rested.value, soon.value);
-  EXPECT_GT(rested.value, 0.0);
-  rested.add(100s, 0.0);  // no logarithm of nothing
-  EXPECT_GT(rested.value, 0.0);
+TEST(Trend, FollowsSamplesAndWeighsThemMoreAfterAGap) {
+  Trend frequent{1.0}, spaced{1.0};
+  for (int i = 0; i < 40; ++i) frequent.add(1s, 4.0);
+  EXPECT_NEAR(frequent.value, 4.0, 0.01);
+  spaced.add(1s, 1.0);
+  Trend soon_after = spaced;
+  soon_after.add(1s, 4.0);
+  spaced.add(100s, 4.0);
+  EXPECT_GT(spaced.value, soon_after.value);
+  EXPECT_GT(spaced.value, 0.0);
+  spaced.add(100s, 0.0);  // no logarithm of zero
+  EXPECT_GT(spaced.value, 0.0);
 }
 
-struct Site {
+struct EstimatesFixture {
   Settings settings;
-  Beliefs known{settings};
-  Site() {
+  Estimates estimates{settings};
+  EstimatesFixture() {
     settings.kinds = {{Role::reader, 1000}, {Role::writer, 2000}};
     settings.rules.cold_time = 10s;
   }
-  static EngineEntry row(EngineId id, std::uint32_t kind, double rating = 1.0, Time started = Time{0}) {
+  static EngineEntry make_entry(EngineId id, std::uint32_t kind, double rating = 1.0,
+                                Time started = Time{0}) {
     EngineEntry e;
     e.engine = id;
     e.kind = kind;
@@ -104,105 +105,111 @@
   }
 };
 
-TEST(Beliefs, AWholeListTakesOutWhatItDoesNotName) {
-  Site site;
-  site.known.take({ListScope::disk, {Site::row(1, 0), Site::row(2, 1), Site::row(3, 1, 2.0)}});
-  EXPECT_FALSE(site.known.listed);
-  EXPECT_DOUBLE_EQ(site.known.all.writers, 3.0);
-  site.known.take({ListScope::complete, {Site::row(1, 0), Site::row(3, 1, 2.0)}});
-  EXPECT_TRUE(site.known.listed);
-  EXPECT_FALSE(site.known.find(2)->live());
-  EXPECT_DOUBLE_EQ(site.known.all.writers, 2.0);
-  EXPECT_DOUBLE_EQ(site.known.most.writers, 3.0);
-  site.known.take({ListScope::changes, {Site::row(9, 7)}});  // of a kind that the settings do not have
-  EXPECT_EQ(site.known.find(9), nullptr);
+TEST(Estimates, ACompleteListRemovesWhatItDoesNotName) {
+  EstimatesFixture fixture;
+  fixture.estimates.apply_list({ListScope::disk,
+                                {EstimatesFixture::make_entry(1, 0), EstimatesFixture::make_entry(2, 1),
+                                 EstimatesFixture::make_entry(3, 1, 2.0)}});
+  EXPECT_FALSE(fixture.estimates.list_received);
+  EXPECT_DOUBLE_EQ(fixture.estimates.capacity.decode, 3.0);
+  fixture.estimates.apply_list(
+      {ListScope::complete, {EstimatesFixture::make_entry(1, 0), EstimatesFixture::make_entry(3, 1, 2.0)}});
+  EXPECT_TRUE(fixture.estimates.list_received);
+  EXPECT_FALSE(fixture.estimates.find(2)->live());
+  EXPECT_DOUBLE_EQ(fixture.estimates.capacity.decode, 2.0);
+  EXPECT_DOUBLE_EQ(fixture.estimates.peak_capacity.decode, 3.0);
+  fixture.estimates.apply_list(
+      {ListScope::changes, {EstimatesFixture::make_entry(9, 7)}});  // of a kind that the settings lack
+  EXPECT_EQ(fixture.estimates.find(9), nullptr);
 }
 
-TEST(Beliefs, ANewStartForgetsTheOldProcess) {
-  Site site;
-  site.known.take({ListScope::complete, {Site::row(2, 1)}});
-  Engine& e = *site.known.find(2);
-  e.kept.put(5, 900);
-  e.all.add(1s, false);
-  e.told_at = e.share_at = 1s;
-  site.known.now = 2s;
-  site.known.take({ListScope::changes, {Site::row(2, 1, 1.0, 2s)}});
-  EXPECT_EQ(e.kept.find(5), 0);
-  EXPECT_DOUBLE_EQ(e.all.failing(2s, 0.0, 1.0), 0.0);
-  EXPECT_LT(e.told_at, Time{0});
-  EXPECT_TRUE(site.known.cold(e));
-  site.known.now = 13s;
-  EXPECT_FALSE(site.known.cold(e));
+TEST(Estimates, ANewStartTimeDropsWhatWasLearned) {
+  EstimatesFixture fixture;
+  fixture.estimates.apply_list({ListScope::complete, {EstimatesFixture::make_entry(2, 1)}});
+  Instance& e = *fixture.estimates.find(2);
+  e.cached_prefixes.put(5, 900);
+  e.all_classes.add(1s, false);
+  e.reported_at = e.memory_reported_at = 1s;
+  fixture.estimates.now = 2s;
+  fixture.estimates.apply_list({ListScope::changes, {EstimatesFixture::make_entry(2, 1, 1.0, 2s)}});
+  EXPECT_EQ(e.cached_prefixes.find(5), 0);
+  EXPECT_DOUBLE_EQ(e.all_classes.failure_share(2s, 0.0, 1.0), 0.0);
+  EXPECT_LT(e.reported_at, Time{0});
+  EXPECT_TRUE(fixture.estimates.in_slow_start(e));
+  fixture.estimates.now = 13s;
+  EXPECT_FALSE(fixture.estimates.in_slow_start(e));
 }
 
-TEST(Beliefs, NonsenseInAReportNeitherFillsNorEmptiesABox) {
-  Site site;
-  site.known.take({ListScope::complete, {Site::row(2, 1)}});
-  Engine& e = *site.known.find(2);
-  e.held = 500.0;
-  EXPECT_DOUBLE_EQ(site.known.filled(e), 0.25);  // by own requests alone
-  site.known.hear(e, {{ReportField::memory_share, 0.5}});
-  e.held += 200.0;
-  EXPECT_DOUBLE_EQ(site.known.filled(e), 0.6);
-  for (const double nonsense : {-1.0, std::nan("")}) {
-    site.known.hear(e, {{ReportField::memory_share, nonsense}});
-    EXPECT_DOUBLE_EQ(site.known.filled(e), 0.6);
+TEST(Estimates, InvalidMemoryReportsAreIgnoredOrClamped) {
+  EstimatesFixture fixture;
+  fixture.estimates.apply_list({ListScope::complete, {EstimatesFixture::make_entry(2, 1)}});
+  Instance& e = *fixture.estimates.find(2);
+  e.resident_tokens = 500.0;
+  EXPECT_DOUBLE_EQ(fixture.estimates.memory_used(e), 0.25);  // from own requests alone
+  fixture.estimates.apply_report(e, {{ReportField::memory_share, 0.5}});
+  e.resident_tokens += 200.0;
+  EXPECT_DOUBLE_EQ(fixture.estimates.memory_used(e), 0.6);
+  for (const double invalid : {-1.0, std::nan("")}) {
+    fixture.estimates.apply_report(e, {{ReportField::memory_share, invalid}});
+    EXPECT_DOUBLE_EQ(fixture.estimates.memory_used(e), 0.6);
   }
-  site.known.hear(e, {{ReportField::memory_share, 1e300}});
-  EXPECT_DOUBLE_EQ(site.known.filled(e), 1.0);
-  e.memory = 0;  // not told: nothing can be said of room
-  EXPECT_DOUBLE_EQ(site.known.filled(e), 0.0);
+  fixture.estimates.apply_report(e, {{ReportField::memory_share, 1e300}});
+  EXPECT_DOUBLE_EQ(fixture.estimates.memory_used(e), 1.0);
+  e.memory = 0;  // capacity unknown
+  EXPECT_DOUBLE_EQ(fixture.estimates.memory_used(e), 0.0);
 }
 
-TEST(Beliefs, AMoveOverACutPathIsDearUntilTheCutIsForgotten) {
-  Site site;
-  auto far = Site::row(2, 1);
+TEST(Estimates, ATransferOverAFailedPathIsExpensiveForAWhile) {
+  EstimatesFixture fixture;
+  auto far = EstimatesFixture::make_entry(2, 1);
   far.cell = 1;
-  site.known.take({ListScope::complete, {Site::row(1, 0), far}});
-  const Engine &reader = *site.known.find(1), &writer = *site.known.find(2);
-  const double usual = site.known.move_time(reader, writer, 4000);
-  EXPECT_GT(usual, site.known.move_time(reader, reader, 4000));
-  site.known.cuts[{0, 1}] = 3s;
-  site.known.now = 2s;
-  EXPECT_GT(site.known.move_time(reader, writer, 4000), usual);
-  site.known.now = 3s;
-  EXPECT_DOUBLE_EQ(site.known.move_time(reader, writer, 4000), usual);
+  fixture.estimates.apply_list({ListScope::complete, {EstimatesFixture::make_entry(1, 0), far}});
+  const Instance &prefill_instance = *fixture.estimates.find(1),
+                 &decode_instance = *fixture.estimates.find(2);
+  const double before = fixture.estimates.transfer_time(prefill_instance, decode_instance, 4000);
+  EXPECT_GT(before, fixture.estimates.transfer_time(prefill_instance, prefill_instance, 4000));
+  fixture.estimates.failed_paths[{0, 1}] = 3s;
+  fixture.estimates.now = 2s;
+  EXPECT_GT(fixture.estimates.transfer_time(prefill_instance, decode_instance, 4000), before);
+  fixture.estimates.now = 3s;
+  EXPECT_DOUBLE_EQ(fixture.estimates.transfer_time(prefill_instance, decode_instance, 4000), before);
 }
 
-// Reads of 6,000 tokens that all end in the same time. Each reader tells its own figure of tokens found kept.
-// Returns how many of the last ten go to the second reader.
-int reads_at_second(Tokens found_at_first, Tokens found_at_second) {
-  constexpr RequestId kLearned = 24, kCounted = 10;
+// Serves prefills of 6,000 tokens that all take the same time while each prefill instance reports its own
+// number of cached tokens. Returns how many of the last ten go to the second one.
+int prefills_at_second(Tokens cached_at_first, Tokens cached_at_second) {
+  constexpr RequestId kWarmUpRequests = 24, kCountedRequests = 10;
   Front f;
   int at_second = 0;
-  for (RequestId id = 1; id <= kLearned + kCounted; ++id) {
+  for (RequestId id = 1; id <= kWarmUpRequests + kCountedRequests; ++id) {
     f.arrive(id, 0, 6000);
-    const EngineId reader = f.sent().value_or(0);
-    EXPECT_TRUE(reads(reader));
-    at_second += id > kLearned && reader == kReaderB;
-    f.end(id, 0, reader, Outcome::state_held, reader == kReaderA ? found_at_first : found_at_second);
+    const EngineId prefill_instance = f.sent().value_or(0);
+    EXPECT_TRUE(reads(prefill_instance));
+    at_second += id > kWarmUpRequests && prefill_instance == kReaderB;
+    f.end(id, 0, prefill_instance, Outcome::state_held,
+          prefill_instance == kReaderA ? cached_at_first : cached_at_second);
     f.end(id, 1, f.sent().value_or(0), Outcome::served, 0, true);
     f.run(100ms);
   }
   return at_second;
 }
 
-TEST(Pace, IsLearnedFromWhatWasReadNotFromWhatTheTableClaimed) {
-  EXPECT_GE(reads_at_second(5500, 0), 9) << "the first had next to nothing to read and took as long";
+TEST(Pace, IsLearnedFromReportedNotFromExpectedCachedTokens) {
+  EXPECT_GE(prefills_at_second(5500, 0), 9) << "the first had few tokens to prefill and took as long";
 }
 
-TEST(Pace, AFigureBeyondThePromptCountsAsTheWholePrompt) {
-  EXPECT_EQ(reads_at_second(1'000'000'000, 6000), reads_at_second(6000, 6000));
-  EXPECT_EQ(reads_at_second(-1'000'000'000, 0), reads_at_second(0, 0));
+TEST(Pace, ACachedCountOutsideThePromptIsClamped) {
+  EXPECT_EQ(prefills_at_second(1'000'000'000, 6000), prefills_at_second(6000, 6000));
+  EXPECT_EQ(prefills_at_second(-1'000'000'000, 0), prefills_at_second(0, 0));
 }
 
-TEST(FoundShare, StaysAShareWhateverAnAnswerTells) {
+TEST(CachedShare, StaysWithinZeroAndOneForAnyReport) {
   const Settings settings = plain_settings();
-  Beliefs beliefs(settings);
-  for (int i = 0; i < 50; ++i) beliefs.learn_found(0, 0, 6000, 1'000'000'000);
-  EXPECT_LE(beliefs.found_share(0, 0), 1.0);
-  for (int i = 0; i < 50; ++i) beliefs.learn_found(0, 0, 6000, -1'000'000'000);
-  EXPECT_GE(beliefs.found_share(0, 0), 0.0);
+  Estimates estimates(settings);
+  for (int i = 0; i < 50; ++i) estimates.learn_cached_share(0, 0, 6000, 1'000'000'000);
+  EXPECT_LE(estimates.cached_share(0, 0), 1.0);
+  for (int i = 0; i < 50; ++i) estimates.learn_cached_share(0, 0, 6000, -1'000'000'000);
+  EXPECT_GE(estimates.cached_share(0, 0), 0.0);
 }
 
 }  // namespace
