--- a/tests/drawn_settings.hpp
+++ b/tests/drawn_settings.hpp
@@ -1,5 +1,4 @@
-// Settings as some third site might have them: every allowed combination, over the ranges of the known sites
-// and beyond.
+// Random settings: every allowed combination, over and beyond the ranges of the known configurations.
 #pragma once
 
 #include <random>
@@ -20,7 +19,7 @@
   std::mt19937 rng_;
 };
 
-// Kind 0 reads, 1 writes, 2 (not everywhere) does both.
+// Kind 0 prefills, 1 decodes, 2 (not in every configuration) does both.
 inline Settings drawn_settings(std::uint32_t seed) {
   Draw draw(seed);
   Settings s;
@@ -72,15 +71,15 @@
   return s;
 }
 
-// A load report as a box may send it, now and then with nonsense in it.
+// A load report as an instance may send it, occasionally with invalid values.
 inline LoadReport drawn_report(Draw& draw) {
   LoadReport report;
-  const double nonsense[] = {-1.0, 1e300, -1e300, 0.0};
+  const double invalid[] = {-1.0, 1e300, -1e300, 0.0};
   for (const ReportField field : {ReportField::in_flight, ReportField::queued, ReportField::memory_share,
                                   ReportField::queued_ktokens}) {
     if (draw.chance(0.3)) continue;
-    const double most = field == ReportField::memory_share ? 1.0 : 60.0;
-    report.push_back({field, draw.chance(0.05) ? nonsense[draw.pick(0, 3)] : draw.between(0.0, most)});
+    const double largest = field == ReportField::memory_share ? 1.0 : 60.0;
+    report.push_back({field, draw.chance(0.05) ? invalid[draw.pick(0, 3)] : draw.between(0.0, largest)});
   }
   return report;
 }
--- a/tests/random_test.cpp
+++ b/tests/random_test.cpp
@@ -1,4 +1,4 @@
-// Random legal events from fixed seeds, the rule checker watching; and equal events must give equal actions.
+// Random legal events from fixed seeds, with the rule checker watching. Equal events must give equal actions.
 #include <gtest/gtest.h>
 
 #include <cmath>
@@ -10,7 +10,7 @@
 namespace eiderarch::test {
 namespace {
 
-struct Out {
+struct ActiveAttempt {
   RequestId id = 0;
   int attempt = 0;
   EngineId engine = 0;
@@ -19,10 +19,10 @@
   bool cancelled = false;
 };
 
-// Draws what the wire may legally say next. It has no idea of how servers behave.
-class Chaos {
+// Draws events that the interface allows next, without modelling how instances behave.
+class RandomEventSource {
  public:
-  Chaos(const Settings& settings, std::uint32_t seed)
+  RandomEventSource(const Settings& settings, std::uint32_t seed)
       : s_(settings), router_(settings), checker_(settings), draw_(seed) {
     list_ = {entry(kReaderA, 0, 0), entry(kReaderB, 0, 1), entry(13, 0, 2),
              entry(kWriterA, 1, 0), entry(kWriterB, 1, 1), entry(23, 1, 2)};
@@ -38,7 +38,7 @@
       if (chance(0.008)) events.push_back(list_change());
       give(events);
     }
-    while (!outs_.empty() || now_ < last_deadline_ + 1s) {
+    while (!active_.empty() || now_ < last_deadline_ + 1s) {
       now_ += 4ms;
       give(due());
     }
@@ -51,34 +51,36 @@
   int pick(int low, int high) { return draw_.pick(low, high); }
   bool chance(double p) { return draw_.chance(p); }
   [[nodiscard]] LoadReport report(bool probed) {
-    const bool told = s_.report_mode == ReportMode::answers || (probed && s_.report_mode != ReportMode::none);
-    return told ? drawn_report(draw_) : LoadReport{};
+    const bool reported =
+        s_.report_mode == ReportMode::answers || (probed && s_.report_mode != ReportMode::none);
+    return reported ? drawn_report(draw_) : LoadReport{};
   }
 
   void give(const std::vector<Event>& events) {
     checker_.saw(now_, events);
     const auto actions = router_.handle(now_, events);
     checker_.did(now_, actions);
-    for (const Action& action : actions) carry_out(action);
+    for (const Action& action : actions) execute(action);
   }
 
-  void carry_out(const Action& action) {
+  void execute(const Action& action) {
     trace_.push_back(std::to_string(action.index()));
     if (const auto* send = std::get_if<Send>(&action)) {
       trace_.back() += ":" + std::to_string(send->id) + ">" + std::to_string(send->engine);
-      outs_.push_back({send->id, tries_[send->id]++, send->engine, now_, false, false});
+      active_.push_back({send->id, attempts_sent_[send->id]++, send->engine, now_, false, false});
     } else if (const auto* cancel = std::get_if<Cancel>(&action)) {
-      for (Out& out : outs_) {
+      for (ActiveAttempt& out : active_) {
         if (out.id == cancel->id && out.attempt == cancel->attempt && !out.streaming) out.cancelled = true;
       }
     } else if (const auto* timer = std::get_if<SetTimer>(&action)) {
       timers_.push_back(*timer);
     } else if (const auto* refuse = std::get_if<Refuse>(&action)) {
-      over_.insert(refuse->id);
+      finished_.insert(refuse->id);
     } else if (const auto* fail = std::get_if<Fail>(&action)) {
-      over_.insert(fail->id);
+      finished_.insert(fail->id);
     } else if (const auto* claim = std::get_if<ClaimWriter>(&action)) {
-      if (chance(0.7)) places_.push_back({claim->id, tries_[claim->id] - 1, claim->engine, chance(0.6)});
+      if (chance(0.7))
+        places_.push_back({claim->id, attempts_sent_[claim->id] - 1, claim->engine, chance(0.6)});
     } else if (const auto* probe = std::get_if<Probe>(&action)) {
       probes_.push_back(probe->engine);
     } else if (std::get_if<Subscribe>(&action) != nullptr || std::get_if<FetchList>(&action) != nullptr) {
@@ -107,8 +109,8 @@
       events.push_back(ProbeEnded{engine, kEnds[pick(0, 5)], draw_.time(1, 300), report(true)});
       return true;
     });
-    std::vector<Out> still;
-    for (Out& out : outs_) {
+    std::vector<ActiveAttempt> still;
+    for (ActiveAttempt& out : active_) {
       for (const PlaceAnswer& place : places_) {
         if (place.id == out.id && place.attempt == out.attempt) events.push_back(place);
       }
@@ -116,19 +118,19 @@
                     [&out](const PlaceAnswer& p) { return p.id == out.id && p.attempt == out.attempt; });
       if (!ends(out, events)) still.push_back(out);
     }
-    outs_ = still;
+    active_ = still;
     for (const auto& [id, deadline] : deadlines_) {
-      const bool waits = !over_.contains(id) && now_ < deadline;
+      const bool waits = !finished_.contains(id) && now_ < deadline;
       if (waits && !streams_.contains(id) && chance(0.0003)) {
-        over_.insert(id);
+        finished_.insert(id);
         events.push_back(RequestGone{id});
       }
     }
     return events;
   }
 
-  bool ends(Out& out, std::vector<Event>& events) {
-    const bool reader = out.engine < kWriterA;
+  bool ends(ActiveAttempt& out, std::vector<Event>& events) {
+    const bool prefill = out.engine < kWriterA;
     const Time deadline = deadlines_.at(out.id);
     AttemptEnded e;
     e.id = out.id;
@@ -140,15 +142,15 @@
     } else if (out.streaming) {
       if (!chance(0.01)) return false;
       e.outcome = chance(0.9) ? Outcome::served : Outcome::reset;
-      over_.insert(out.id);
+      finished_.insert(out.id);
     } else if (now_ >= deadline) {
       e.outcome = Outcome::timed_out;
     } else if (chance(0.02)) {
       if (!chance(0.3)) {
-        if (reader) {
+        if (prefill) {
           e.outcome = Outcome::state_held;
           e.detail = pick(0, 2000);
-        } else if (!over_.contains(out.id)) {
+        } else if (!finished_.contains(out.id)) {
           out.streaming = true;
           streams_.insert(out.id);
           events.push_back(StreamStarted{out.id, out.attempt, out.engine, e.elapsed});
@@ -159,12 +161,12 @@
       } else {
         constexpr Outcome kBad[] = {Outcome::error, Outcome::busy, Outcome::not_connected, Outcome::reset};
         e.outcome = kBad[pick(0, 3)];
-        e.detail = e.outcome == Outcome::busy && !reader ? pick(0, 1) : 0;
+        e.detail = e.outcome == Outcome::busy && !prefill ? pick(0, 1) : 0;
       }
     } else {
       return false;
     }
-    e.request_over = over_.contains(out.id);
+    e.request_over = finished_.contains(out.id);
     e.report = report(false);
     events.push_back(e);
     return true;
@@ -174,7 +176,7 @@
     RequestArrived r;
     r.id = next_++;
     r.request_class = std::uint32_t(pick(0, int(s_.classes.size()) - 1));
-    // One tenant more than the settings name: whose share nobody told.
+    // May draw one tenant more than the settings name, which has no quota.
     if (!s_.tenants.empty()) r.tenant = std::uint32_t(pick(0, int(s_.tenants.size())));
     if (s_.resume) r.resumed = chance(0.1);
     r.client_retry = chance(0.1);
@@ -214,14 +216,14 @@
   Time last_deadline_{0};
   RequestId next_ = 1;
   std::vector<EngineEntry> list_;
-  std::vector<Out> outs_;
+  std::vector<ActiveAttempt> active_;
   std::vector<SetTimer> timers_;
   std::vector<PlaceAnswer> places_;
   std::vector<EngineId> probes_;
   int list_calls_ = 0;
-  std::map<RequestId, int> tries_;
+  std::map<RequestId, int> attempts_sent_;
   std::map<RequestId, Time> deadlines_;
-  std::set<RequestId> over_;
+  std::set<RequestId> finished_;
   std::set<RequestId> streams_;
   std::vector<std::string> trace_;
 };
@@ -234,39 +236,40 @@
   s.limits.cancel = GetParam() % 3 != 0;
   s.limits.second_copies = GetParam() % 5 == 0;
   s.resume = GetParam() % 4 == 0;
-  Chaos chaos(s, std::uint32_t(GetParam()));
-  chaos.run(8000);
-  for (const std::string& fault : chaos.faults()) ADD_FAILURE() << fault;
+  RandomEventSource source(s, std::uint32_t(GetParam()));
+  source.run(8000);
+  for (const std::string& fault : source.faults()) ADD_FAILURE() << fault;
 }
 
 INSTANTIATE_TEST_SUITE_P(Seeds, RandomEvents, testing::Range(1, 13));
 
-// What holds for two known sites may hold by luck. Here each seed is a site of its own.
+// Two known configurations may keep the rules by luck, so each seed draws a configuration of its own.
 class DrawnSettings : public testing::TestWithParam<int> {};
 
 TEST_P(DrawnSettings, KeepTheRules) {
-  for (int site = 0; site < 8; ++site) {
-    const auto seed = std::uint32_t(GetParam() * 100 + site);
-    Chaos chaos(drawn_settings(seed), seed);
-    chaos.run(2000);
-    for (const std::string& fault : chaos.faults()) ADD_FAILURE() << "site " << seed << ": " << fault;
+  for (int configuration = 0; configuration < 8; ++configuration) {
+    const auto seed = std::uint32_t(GetParam() * 100 + configuration);
+    RandomEventSource source(drawn_settings(seed), seed);
+    source.run(2000);
+    for (const std::string& fault : source.faults())
+      ADD_FAILURE() << "configuration " << seed << ": " << fault;
   }
 }
 
 INSTANTIATE_TEST_SUITE_P(Seeds, DrawnSettings, testing::Range(1, 13));
 
-TEST(Determinism, EqualEventsGiveEqualActionsAloneOrAmongOthers) {
-  Chaos alone(plain_settings(), 5);
+TEST(Determinism, EqualEventsGiveEqualActionsWithOrWithoutOtherRouters) {
+  RandomEventSource alone(plain_settings(), 5);
   alone.run(4000);
-  Chaos other(plain_settings(), 6);
-  Chaos again(plain_settings(), 5);
+  RandomEventSource other(plain_settings(), 6);
+  RandomEventSource again(plain_settings(), 5);
   other.run(2000);
   again.run(4000);
   EXPECT_EQ(alone.trace(), again.trace());
   EXPECT_NE(alone.trace(), other.trace());
 }
 
-TEST(RuleChecker, SeesBrokenRules) {
+TEST(RuleChecker, ReportsBrokenRules) {
   RuleChecker checker(plain_settings());
   RequestArrived r;
   r.id = 1;
@@ -278,14 +281,14 @@
   checker.did(1s, {Send{1, kWriterA, 0s}});
   checker.saw(2s, {AttemptEnded{1, 0, kWriterA, Outcome::error, 1s, false, 0, {}}});
   checker.did(2s, {Send{1, kWriterB, 0s}});
-  EXPECT_EQ(checker.faults().size(), 2U);  // an unsafe repeat, to a draining server
+  EXPECT_EQ(checker.faults().size(), 2U);  // an unsafe repeat, to a draining instance
   checker.did(2s, {Refuse{1, 0s}, Fail{1}});
   EXPECT_GE(checker.faults().size(), 4U);
 }
 
-TEST(RuleChecker, SeesWhatAnotherSiteForbids) {
+TEST(RuleChecker, ReportsWhatOtherSettingsForbid) {
   Settings s = plain_settings();
-  s.limits.second_copies = true;  // of what may be repeated
+  s.limits.second_copies = true;  // only of requests that may be repeated
   s.limits.retry_advice = true;
   s.limits.max_retry_advice = 1s;
   RuleChecker checker(s);
@@ -297,13 +300,14 @@
   checker.saw(1s, {ListChanged{ListScope::disk, plain_list()}, safe, unsafe});
   checker.did(1s, {Send{1, kWriterA, 0s}, Send{1, kWriterB, 0s}, Send{2, kWriterA, 0s}});
   EXPECT_TRUE(checker.faults().empty());
-  checker.did(1s, {Send{2, kWriterB, 0s}});  // a second copy, and a repeat of what may have run
+  // A second copy, and a repeat of a request that may have run.
+  checker.did(1s, {Send{2, kWriterB, 0s}});
   EXPECT_EQ(checker.faults().size(), 2U);
   checker.saw(2s, {AttemptEnded{1, 0, kWriterA, Outcome::busy, 1s, false, 0, {}}});
   checker.did(2s, {Refuse{1, 1500ms}});
-  EXPECT_EQ(checker.faults().size(), 3U);  // advice past what clients obey
+  EXPECT_EQ(checker.faults().size(), 3U);  // advice above the longest allowed
   checker.did(2s, {Move{2}});
-  EXPECT_EQ(checker.faults().size(), 4U);  // moves are not offered here
+  EXPECT_EQ(checker.faults().size(), 4U);  // moves are not allowed by these settings
 }
 
 }  // namespace
--- a/tests/router_ending_test.cpp
+++ b/tests/router_ending_test.cpp
@@ -1,4 +1,4 @@
-// How requests end, and what is held for them.
+// How requests end, and what instances hold for them.
 #include <gtest/gtest.h>
 
 #include "eiderarch/router.hpp"
@@ -14,28 +14,28 @@
   EXPECT_EQ(f.logged<Refuse>() + f.logged<Fail>(), 1);
 }
 
-TEST(Ending, TrimmedTimeOutAtTheDeadlineIsAnswered) {
+TEST(Ending, ATimeOutAtTheDeadlineIsAnswered) {
   Front f;
   f.arrive(1, 2);
   f.end(1, 0, *f.sent(), Outcome::state_held);
-  const auto writer = f.sent();
+  const auto decode_instance = f.sent();
   f.run(6s);
-  f.end(1, 1, *writer, Outcome::timed_out);
+  f.end(1, 1, *decode_instance, Outcome::timed_out);
   EXPECT_EQ(f.count<Fail>(), 1);
 }
 
-TEST(Ending, GoneClientIsCalledOffAndItsStateLetGo) {
+TEST(Ending, AClientThatLeavesCancelsItsAttemptAndReleasesTheCache) {
   Front f;
   f.arrive(1);
-  const auto reader = f.sent();
+  const auto prefill_instance = f.sent();
   f.give({RequestGone{1}});
   EXPECT_EQ(f.count<Cancel>(), 1);
-  f.end(1, 0, *reader, Outcome::state_held, 0, true);
+  f.end(1, 0, *prefill_instance, Outcome::state_held, 0, true);
   EXPECT_EQ(f.count<Release>(), 1);
   EXPECT_EQ(f.count<Send>(), 0);
 }
 
-TEST(Ending, GoneInTheBatchInWhichItEndedIsPassedOver) {
+TEST(Ending, AClientThatLeavesAfterTheFinalAnswerIsIgnored) {
   Front f(plain_settings(), {});
   f.arrive(1);
   f.run(7s);
@@ -43,7 +43,7 @@
   EXPECT_EQ(f.count<Refuse>() + f.count<Fail>() + f.count<Cancel>(), 0);
 }
 
-TEST(Ending, UnknownIdsArePassedOver) {
+TEST(Ending, UnknownIdsAreIgnored) {
   Front f;
   Router router(plain_settings());
   const auto actions = router.handle(
@@ -51,7 +51,7 @@
   EXPECT_TRUE(actions.empty());
 }
 
-TEST(Timers, AFrontWithNothingButStreamsIsIdle) {
+TEST(Timers, AFrontWithOnlyStreamsSetsNoTimers) {
   Front f;
   f.arrive(1);
   f.end(1, 0, *f.sent(), Outcome::state_held);
@@ -62,31 +62,32 @@
   EXPECT_EQ(f.logged<SetTimer>(), timers);
 }
 
-// Three writers that had vanished took no connection for 250 ms each, and the state was pinned for 0.75 s.
-TEST(Held, AStateIsLetGoOfBeforeWritersThatCannotBeReachedHaveHadItForTooLong) {
-  Front f;  // 300 ms to let go
+// Guards against a KV cache that is held too long: three unreachable decode instances in a row took 250 ms
+// each to fail and kept it for 0.75 s.
+TEST(HeldCache, IsReleasedInTimeIfDecodeInstancesAreUnreachable) {
+  Front f;  // 300 ms to release it
   f.arrive(1);
   f.end(1, 0, *f.sent(), Outcome::state_held);
-  const auto writer = f.sent();
-  ASSERT_TRUE(writes(writer));
+  const auto decode_instance = f.sent();
+  ASSERT_TRUE(writes(decode_instance));
   f.now += 250ms;
-  f.give({AttemptEnded{1, 1, *writer, Outcome::not_connected, 250ms, false, 0, {}}});
+  f.give({AttemptEnded{1, 1, *decode_instance, Outcome::not_connected, 250ms, false, 0, {}}});
   EXPECT_GE(f.count<Release>(), 1);
-  EXPECT_FALSE(writes(f.sent())) << "it would take 250 ms more to find out";
+  EXPECT_FALSE(writes(f.sent())) << "another unreachable instance would take 250 ms more";
 }
 
-TEST(Held, AStateIsHandedToAnotherWriterAtOnceWhereTheFirstSaysNoAtOnce) {
+TEST(HeldCache, GoesToAnotherDecodeInstanceAtOnceIfTheFirstAnswersOrFailsQuickly) {
   for (const auto& [outcome, after] :
        {std::pair{Outcome::not_connected, 2ms}, std::pair{Outcome::busy, 250ms}}) {
     Front f;
     f.arrive(1);
     f.end(1, 0, *f.sent(), Outcome::state_held);
-    const auto writer = f.sent();
+    const auto decode_instance = f.sent();
     f.now += after;
-    f.give({AttemptEnded{1, 1, *writer, outcome, after, false, 0, {}}});
+    f.give({AttemptEnded{1, 1, *decode_instance, outcome, after, false, 0, {}}});
     EXPECT_EQ(f.count<Release>(), 0);
     ASSERT_TRUE(writes(f.sent()));
-    EXPECT_NE(f.sent(), writer);
+    EXPECT_NE(f.sent(), decode_instance);
   }
 }
 
--- a/tests/router_list_test.cpp
+++ b/tests/router_list_test.cpp
@@ -1,4 +1,4 @@
-// Lists of servers, servers in slow start, and settings of every kind.
+// Instance lists, instances in slow start, and unusual settings.
 #include <gtest/gtest.h>
 
 #include "eiderarch/router.hpp"
@@ -7,7 +7,7 @@
 namespace eiderarch::test {
 namespace {
 
-TEST(Lists, DrainingServerGetsNothingNew) {
+TEST(Lists, ADrainingInstanceGetsNoNewRequests) {
   Front f;
   auto draining = entry(kReaderA, 0, 0);
   draining.state = EngineState::draining;
@@ -18,24 +18,24 @@
   }
 }
 
-TEST(Lists, AbsentFromACompleteListIsGone) {
+TEST(Lists, AnInstanceMissingFromACompleteListIsGone) {
   Front f;
   f.give({ListChanged{ListScope::complete, {entry(kReaderB, 0, 1), entry(kWriterB, 1, 1)}}});
   f.arrive(1);
   EXPECT_EQ(f.sent(), kReaderB);
 }
 
-TEST(Lists, StaleDiskListIsCorrectedByFailures) {
+TEST(Lists, FailuresCorrectAStaleListFromDisk) {
   Front f;
   f.arrive(1);
-  const auto dead = f.sent();
-  f.end(1, 0, *dead, Outcome::not_connected);
-  EXPECT_NE(f.sent(), dead);
+  const auto unreachable = f.sent();
+  f.end(1, 0, *unreachable, Outcome::not_connected);
+  EXPECT_NE(f.sent(), unreachable);
   f.arrive(2);
-  EXPECT_NE(f.sent(), dead);
+  EXPECT_NE(f.sent(), unreachable);
 }
 
-TEST(Lists, OnRequestListsAreSubscribedAndAskedAgainAfterAFailure) {
+TEST(Lists, ASubscriptionIsRepeatedAfterAFailure) {
   Settings s = plain_settings();
   s.list_mode = ListMode::on_request;
   Front f(s);
@@ -45,13 +45,13 @@
   EXPECT_EQ(f.logged<Subscribe>(), 2);
 }
 
-TEST(Lists, WithNoReaderTheWriterReads) {
+TEST(Lists, WithoutPrefillInstancesTheDecodeInstancePrefills) {
   Front f(plain_settings(), {entry(kWriterA, 1, 0)});
   f.arrive(1);
   EXPECT_EQ(f.sent(), kWriterA);
 }
 
-TEST(Lists, AWriterThatMayNotReadIsNeverAskedTo) {
+TEST(Lists, ADecodeInstanceThatCannotPrefillNeverDoes) {
   Settings s = plain_settings();
   s.writers_read = false;
   Front f(s, {entry(kWriterA, 1, 0)});
@@ -61,23 +61,24 @@
   EXPECT_EQ(f.logged<Refuse>(), 1);
 }
 
-TEST(Cold, AFreshServerGetsFewSends) {
+TEST(SlowStart, ANewInstanceGetsFewRequests) {
   Settings s = plain_settings();
   auto list = plain_list();
   Front f(s, {list[0], list[2], list[3]});
-  auto fresh = entry(kReaderB, 0, 1);
-  fresh.started = f.now;
-  f.give({ListChanged{ListScope::changes, {fresh}}});
-  int to_fresh = 0;
+  auto new_entry = entry(kReaderB, 0, 1);
+  new_entry.started = f.now;
+  f.give({ListChanged{ListScope::changes, {new_entry}}});
+  int to_new = 0;
   for (RequestId id = 1; id <= 10; ++id) {
     f.arrive(id);
-    to_fresh += f.sent() == kReaderB;
+    to_new += f.sent() == kReaderB;
   }
-  EXPECT_LE(to_fresh, 4);
+  EXPECT_LE(to_new, 4);
 }
 
-// One of `fronts` fronts is told of a fresh reader among `warm` other ones and gets a request a second.
-int sends_to_a_fresh_reader(std::uint32_t fronts, std::uint64_t seed, Duration length, EngineId warm) {
+// One of `fronts` fronts learns of a new prefill instance among `warm` others and gets one request per
+// second. Returns how many go to the new one.
+int sends_to_new_prefill_instance(std::uint32_t fronts, std::uint64_t seed, Duration length, EngineId warm) {
   Settings s = plain_settings();
   s.fronts = fronts;
   s.seed = seed;
@@ -97,31 +98,33 @@
   }));
 }
 
-TEST(Cold, ManyFrontsTogetherStayWithinTheBudget) {
-  // Were each front to allow itself one send at once, 200 would arrive in the first second. A warm reader
-  // gets 40 a second here; the fresh one at 0.3 of that may be sent three times its part.
+TEST(SlowStart, ManyFrontsTogetherStayWithinTheBudget) {
+  // If each front allowed itself one request at once, 200 would arrive in the first second. A warm prefill
+  // instance gets 40 per second here; the new one starts at a share of 0.3 of that and may get three times
+  // its share.
   int first_second = 0;
-  for (std::uint64_t seed = 1; seed <= 200; ++seed) first_second += sends_to_a_fresh_reader(200, seed, 1s, 4);
+  for (std::uint64_t seed = 1; seed <= 200; ++seed)
+    first_second += sends_to_new_prefill_instance(200, seed, 1s, 4);
   EXPECT_LE(first_second, 36);
 }
 
-TEST(Cold, FrontsThatSeldomHaveARequestWarmItTogether) {
-  // A hundred fronts with one request in two seconds each: none saves up a whole send of its own in that
-  // time, and still the fresh reader is to get some of the ten that a warm one gets, and no more than its
-  // part.
+TEST(SlowStart, FrontsWithFewRequestsWarmANewInstanceTogether) {
+  // Each of four hundred fronts has one request in the first second, so none saves up a whole send of its
+  // own. The new prefill instance must still get some of the ten that a warm one gets, and no more than its
+  // share.
   int sends = 0;
-  for (std::uint64_t seed = 1; seed <= 400; ++seed) sends += sends_to_a_fresh_reader(400, seed, 1s, 39);
+  for (std::uint64_t seed = 1; seed <= 400; ++seed) sends += sends_to_new_prefill_instance(400, seed, 1s, 39);
   EXPECT_GE(sends, 2);
   EXPECT_LE(sends, 9);
 }
 
-TEST(Cold, AFreshServerIsWarmedByAFewFrontsToo) {
+TEST(SlowStart, AFewFrontsWarmANewInstanceToo) {
   int sends = 0;
-  for (std::uint64_t seed = 1; seed <= 20; ++seed) sends += sends_to_a_fresh_reader(2, seed, 8s, 0);
+  for (std::uint64_t seed = 1; seed <= 20; ++seed) sends += sends_to_new_prefill_instance(2, seed, 8s, 0);
   EXPECT_GT(sends, 5);
 }
 
-TEST(Settings, NothingUsableIsRefusedSafely) {
+TEST(Settings, EmptySettingsRefuseEveryRequest) {
   Settings empty;
   Router router(empty);
   RequestArrived r;
@@ -132,7 +135,7 @@
   EXPECT_TRUE(std::holds_alternative<Refuse>(actions.front()));
 }
 
-TEST(Settings, ZeroesAndIndexesOutOfRangeDoNoHarm) {
+TEST(Settings, ZerosAndIndexesOutOfRangeDoNoHarm) {
   Settings s = plain_settings();
   s.fronts = 0;
   s.tenants = {{0.0}, {1.0}};
--- a/tests/router_retry_test.cpp
+++ b/tests/router_retry_test.cpp
@@ -1,4 +1,4 @@
-// Further attempts: what a class permits, the budget for them, and what failures say of a server.
+// Retries: what a request class permits, the retry budget, and how failures change the choice of an instance.
 #include <gtest/gtest.h>
 
 #include "eiderarch/router.hpp"
@@ -7,61 +7,61 @@
 namespace eiderarch::test {
 namespace {
 
-// A small site: one front, two servers that both read and write, few arrivals.
-Front small_site() {
+// A small deployment: one front, two instances that prefill and decode, few arrivals.
+Front single_front() {
   Settings s = plain_settings();
   s.fronts = 1;
   return Front(s, {entry(kMixed, 2, 0), entry(kMixed + 1, 2, 0)});
 }
 
-TEST(Budget, AnIdleServerIsTriedThoughFewArrivalsHaveNotRefilledTheBudget) {
-  Front f = small_site();
+TEST(RetryBudget, AnIdleInstanceIsTriedThoughTheBudgetIsSpent) {
+  Front f = single_front();
   for (RequestId id = 1; id <= 8; ++id) {
     f.arrive(id);
     const auto first = f.sent();
     ASSERT_TRUE(first.has_value());
     f.end(id, 0, *first, Outcome::error);
     const auto second = f.sent();
-    ASSERT_TRUE(second.has_value()) << "request " << id << " waits while a server stands idle";
+    ASSERT_TRUE(second.has_value()) << "request " << id << " waits while an instance is idle";
     EXPECT_NE(second, first);
     f.stream(id, 1, *second);
     f.end(id, 1, *second, Outcome::served, 0, true);
   }
 }
 
-TEST(Budget, WithEveryServerTriedAndTheBudgetSpentTheClientHearsSoAtOnce) {
-  Front f = small_site();
+TEST(RetryBudget, WithEveryInstanceTriedAndTheBudgetSpentTheRequestIsRefusedAtOnce) {
+  Front f = single_front();
   RequestId id = 0;
   for (int failed = 0; failed < 6; ++failed) {
     f.arrive(++id);
     for (int attempt = 0; f.count<Refuse>() == 0; ++attempt) {
       ASSERT_LT(attempt, 4);
-      ASSERT_TRUE(f.sent().has_value()) << "request " << id << " is held back";
+      ASSERT_TRUE(f.sent().has_value()) << "request " << id << " is kept waiting";
       f.end(id, attempt, *f.sent(), Outcome::error);
     }
   }
 }
 
-TEST(Budget, BusyServersAreNotLoadedByFurtherAttemptsBeyondIt) {
-  Front f = small_site();
-  // Streams at both, so that neither is idle.
+TEST(RetryBudget, BusyInstancesGetNoRetriesBeyondIt) {
+  Front f = single_front();
+  // Streams run at both instances, so neither is idle.
   for (RequestId id = 100; id < 104; ++id) {
     f.arrive(id);
     f.stream(id, 0, *f.sent());
   }
-  int repeats = 0;
+  int retries = 0;
   for (RequestId id = 1; id <= 20; ++id) {
     f.arrive(id);
     if (!f.sent()) continue;
     f.end(id, 0, *f.sent(), Outcome::error);
     if (!f.sent()) continue;
-    ++repeats;
+    ++retries;
     f.end(id, 1, *f.sent(), Outcome::error);
   }
-  EXPECT_LE(repeats, 2 + 24 / 5 + 1);
+  EXPECT_LE(retries, 2 + 24 / 5 + 1);
 }
 
-TEST(Budget, LostAnswersGoOnWithinItTheNearestToDoneFirst) {
+TEST(RetryBudget, LimitsResumedAnswersAndThoseClosestToCompletionComeFirst) {
   Settings settings = plain_settings();
   settings.resume = true;
   Front f(settings, {entry(kMixed, 2, 0), entry(kMixed + 1, 2, 1)});
@@ -84,10 +84,10 @@
   for (const Action& action : f.give(lost)) {
     if (const auto* send = std::get_if<Send>(&action)) {
       sent.push_back(send->id);
-      EXPECT_NE(send->engine, kMixed);  // not where it was lost, while there is another
+      EXPECT_NE(send->engine, kMixed);  // not where the answer broke off, while there is another
     }
   }
-  // What four arrivals have saved, and not one for each that was lost.
+  // Four arrivals have saved a few retries; lost answers add none.
   ASSERT_FALSE(sent.empty());
   EXPECT_LE(sent.size(), 3U);
   EXPECT_EQ(sent.front(), 100U);
@@ -96,7 +96,7 @@
   EXPECT_EQ(f.logged<Refuse>(), 100 - int(sent.size()));
 }
 
-TEST(Writing, UnsafeIsFailedWhereItMayHaveRun) {
+TEST(Decode, AnUnsafeRequestThatMayHaveRunIsFailed) {
   for (const Outcome outcome : {Outcome::error, Outcome::timed_out, Outcome::reset, Outcome::cancelled}) {
     Front f;
     f.arrive(1, 2);
@@ -108,7 +108,7 @@
   }
 }
 
-TEST(Writing, UnsafeIsTriedAgainWhereItNeverRan) {
+TEST(Decode, AnUnsafeRequestThatDidNotRunIsRetried) {
   for (const Outcome outcome : {Outcome::busy, Outcome::not_connected}) {
     Front f;
     f.arrive(1, 2);
@@ -120,33 +120,35 @@
   }
 }
 
-// Its second read went to the reader of the other zone: a copy of the request outside its group.
-TEST(Writing, WhatMayHaveRunIsReadAgainOnlyInItsGroupAndWindow) {
+// Guards against a second prefill at an instance of the other zone, which would send a copy of the request
+// outside its group.
+TEST(Decode, ARequestThatMayHaveRunIsPrefilledAgainOnlyInItsGroupAndWindow) {
   Settings s = plain_settings();
   s.writers_read = false;
   s.limits.max_attempts = 8;
   for (Key session = 1; session <= 20; ++session) {
     Front f(s);
     f.arrive(1, 1, 3000, session);
-    EXPECT_EQ(std::get<Send>(f.last.front()).by, 0s);  // no window has opened
+    EXPECT_EQ(std::get<Send>(f.last.front()).by, 0s);  // no repeat window has started
     f.end(1, 0, *f.sent(), Outcome::state_held);
-    const EngineId writer = *f.sent();
+    const EngineId decode_instance = *f.sent();
     const Time window = f.now + 3s;
     f.run(100ms);
-    f.end(1, 1, writer, Outcome::reset);
-    ASSERT_EQ(f.sent(), writer);
+    f.end(1, 1, decode_instance, Outcome::reset);
+    ASSERT_EQ(f.sent(), decode_instance);
     EXPECT_EQ(std::get<Send>(f.last.front()).by, window);
-    f.end(1, 2, writer, Outcome::busy, 1);  // the state is gone: it is read anew
-    const EngineId reader = writer == kWriterA ? kReaderA : kReaderB;
-    ASSERT_EQ(f.sent(), reader);
+    // The KV cache is gone, so the prompt is prefilled again.
+    f.end(1, 2, decode_instance, Outcome::busy, 1);
+    const EngineId prefill_instance = decode_instance == kWriterA ? kReaderA : kReaderB;
+    ASSERT_EQ(f.sent(), prefill_instance);
     f.now = window - 10ms;
-    f.end(1, 3, reader, Outcome::error);
+    f.end(1, 3, prefill_instance, Outcome::error);
     EXPECT_FALSE(f.sent());
     EXPECT_EQ(f.count<Fail>(), 1);
   }
 }
 
-TEST(Writing, AnAttemptThatNeverRanNarrowsNoGroup) {
+TEST(Decode, AnAttemptThatDidNotRunDoesNotRestrictTheGroup) {
   Front f(plain_settings(), {entry(kReaderA, 0, 0), entry(kWriterA, 1, 0), entry(kWriterB, 1, 1)});
   f.arrive(1, 1);
   f.end(1, 0, kReaderA, Outcome::state_held);
@@ -155,7 +157,7 @@
   EXPECT_EQ(f.sent(), first == kWriterA ? kWriterB : kWriterA);
 }
 
-TEST(Writing, KeyedStaysInItsCell) {
+TEST(Decode, AKeyedRequestIsRetriedOnlyInItsCell) {
   Front f;
   f.arrive(1, 1);
   f.end(1, 0, *f.sent(), Outcome::state_held);
@@ -166,7 +168,7 @@
   EXPECT_EQ(f.logged<Refuse>(), 0);
 }
 
-TEST(Writing, NoStateMeansReadAgainAndTheOldStateLetGo) {
+TEST(Decode, AMissingCacheIsReleasedAndThePromptPrefilledAgain) {
   Front f;
   f.arrive(1);
   f.end(1, 0, *f.sent(), Outcome::state_held);
@@ -175,7 +177,7 @@
   EXPECT_TRUE(reads(f.sent()));
 }
 
-TEST(Writing, AnotherWriterPullsTheStateWhenTheFirstIsFull) {
+TEST(Decode, AnotherInstanceFetchesTheCacheIfTheFirstIsFull) {
   Front f;
   f.arrive(1);
   f.end(1, 0, *f.sent(), Outcome::state_held);
@@ -186,19 +188,19 @@
   EXPECT_EQ(f.count<Release>(), 0);
 }
 
-TEST(Writing, WriterLostDuringTheReadIsReplaced) {
+TEST(Decode, AnInstanceLostDuringThePrefillIsReplaced) {
   Front f;
   f.arrive(1);
-  const auto reader = f.sent();
+  const auto prefill_instance = f.sent();
   auto gone = entry(kWriterA, 1, 0);
   gone.state = EngineState::gone;
   f.give({ListChanged{ListScope::changes, {gone}}});
-  f.end(1, 0, *reader, Outcome::state_held);
+  f.end(1, 0, *prefill_instance, Outcome::state_held);
   EXPECT_EQ(f.sent(), kWriterB);
 }
 
-// Further attempts, where every read fails, of requests that come `gap` apart for ten seconds.
-int repeats_when_all_fails(Duration gap) {
+// Number of retries when every prefill fails, for requests that arrive at intervals of `gap` for ten seconds.
+int retries_when_all_fail(Duration gap) {
   Front f;
   int arrived = 0;
   for (Duration at{0}; at < 10s; at += gap, ++arrived) {
@@ -212,26 +214,26 @@
   return f.logged<Send>() - arrived;
 }
 
-TEST(Retries, SavedOnesFollowWhatArrivesAtThisFront) {
-  // A front with one request a second saves a few repeats, not 20 that hundreds of fronts would spend at
-  // once.
-  EXPECT_LE(repeats_when_all_fails(1s), 2 + 3);
-  EXPECT_GE(repeats_when_all_fails(100ms), 12);
+TEST(Retries, SavedRetriesFollowThisFrontsArrivals) {
+  // A front with one request per second saves a few retries, not the 20 that hundreds of fronts would spend
+  // at once.
+  EXPECT_LE(retries_when_all_fail(1s), 2 + 3);
+  EXPECT_GE(retries_when_all_fail(100ms), 12);
 }
 
-TEST(Health, AWriterSilentForOneClassIsAvoidedForThatClassOnly) {
+TEST(Health, ADecodeInstanceFailingOneClassIsAvoidedForThatClassOnly) {
   Front f(plain_settings(), {entry(kReaderA, 0, 0), entry(kWriterA, 1, 0), entry(kWriterB, 1, 0)});
-  // Class 0 is never answered by the one writer, class 1 by both.
+  // One decode instance never answers class 0; both answer class 1.
   RequestId id = 1;
-  std::optional<EngineId> bad;
-  int again = 0;
+  std::optional<EngineId> failing_instance;
+  int repeated_failures = 0;
   for (int i = 0; i < 12; ++i, ++id) {
     f.arrive(id, i % 2 == 0 ? 0U : 1U, 100);
     ASSERT_TRUE(writes(f.sent()));
     const EngineId to = *f.sent();
-    if (i % 2 == 0 && (!bad || to == *bad)) {
-      again += bad.has_value();
-      bad = to;
+    if (i % 2 == 0 && (!failing_instance || to == *failing_instance)) {
+      repeated_failures += failing_instance.has_value();
+      failing_instance = to;
       f.end(id, 0, to, Outcome::error);
       if (f.sent()) f.end(id, 1, *f.sent(), Outcome::served, 0, true);
     } else {
@@ -240,40 +242,41 @@
     }
     f.run(200ms);
   }
-  EXPECT_EQ(again, 0);
+  EXPECT_EQ(repeated_failures, 0);
 }
 
-// A box that fails at once is always idle: with the other one out of room it would get, and lose, all.
-TEST(Health, AWriterThatFailsAtOnceIsNotTakenForOneThatHasRoom) {
+// An instance that fails at once is always idle, so it would get, and lose, every request while the other is
+// full.
+TEST(Health, ADecodeInstanceThatFailsAtOnceIsNotPreferredForBeingIdle) {
   Settings s = plain_settings();
-  s.kinds[1].memory = 400;  // the sound writer has room for one request of this front
+  s.kinds[1].memory = 400;  // the working decode instance has memory for one request of this front
   Front f(s);
   int failed = 0;
   for (RequestId id = 1; id <= 30; ++id) {
-    f.arrive(id, 2, 100);  // unsafe, read where it is written
+    f.arrive(id, 2, 100);  // unsafe, prefilled where it is decoded
     if (f.sent() != kWriterB) continue;
     ++failed;
     f.end(id, 0, kWriterB, Outcome::error);
     f.run(20ms);
   }
   EXPECT_GE(failed, 1);
-  EXPECT_LE(failed, 4) << "it goes on being chosen for being idle";
+  EXPECT_LE(failed, 4) << "it is still chosen for being idle";
 }
 
-TEST(Patience, ASilentReaderIsLeftForAnother) {
+TEST(Cancellation, ASilentPrefillInstanceIsReplaced) {
   Front f;
   for (RequestId id = 1; id < 9; ++id) f.serve(id);
   f.arrive(20);
-  const auto silent = f.sent();
+  const auto silent_instance = f.sent();
   f.run(1200ms);
   EXPECT_GE(f.logged<Cancel>(), 1);
-  f.end(20, 0, *silent, Outcome::cancelled);
+  f.end(20, 0, *silent_instance, Outcome::cancelled);
   EXPECT_TRUE(f.sent().has_value());
-  EXPECT_NE(f.sent(), silent);
+  EXPECT_NE(f.sent(), silent_instance);
 }
 
-// Ends of attempts are told as 50 ms long, so 900 ms are many times what another reader would take.
-TEST(Patience, AReadIsNotCalledOffEarlyInALongAim) {
+// Attempts are reported to take 50 ms, so 900 ms is many times what another prefill instance would need.
+TEST(Cancellation, APrefillIsNotCancelledEarlyInALongAim) {
   for (const Duration aim : {Duration{600ms}, Duration{4s}}) {
     Settings settings = plain_settings();
     for (RequestClass& cls : settings.classes) cls.aim = aim;
@@ -284,11 +287,11 @@
     f.run(900ms);
     EXPECT_EQ(f.logged<Cancel>(), aim < 1s ? 1 : 0);
     f.run(1300ms);
-    EXPECT_EQ(f.logged<Cancel>(), 1) << "past half of its aim a silent reader is left all the same";
+    EXPECT_EQ(f.logged<Cancel>(), 1) << "past half of its aim a silent prefill instance is still abandoned";
   }
 }
 
-TEST(Patience, AnUnsafeWriterAttemptIsNeverCalledOff) {
+TEST(Cancellation, AnUnsafeDecodeAttemptIsNeverCancelled) {
   Front f;
   for (RequestId id = 1; id < 9; ++id) f.serve(id);
   f.arrive(20, 2);
--- a/tests/slow_start_test.cpp
+++ b/tests/slow_start_test.cpp
@@ -1,5 +1,5 @@
-// The budget of a server in slow start, summed over all processes that send to it: each decides alone, and
-// the sum has to hold however many there are, and however unequal their traffic.
+// The slow-start budget summed over all processes that send to an instance. Each process decides alone; the
+// sum must stay within the budget for any number of processes and however unequal their traffic.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -17,24 +17,25 @@
 
 constexpr Duration kStep = 20ms;
 constexpr Duration kServiceTime = 300ms;
-constexpr Duration kWarmUp = 4s;  // in which the processes see what a warm server gets
-constexpr EngineId kFresh = 1;
-constexpr EngineId kWarmReaders = 5;
+constexpr Duration kWarmUp = 4s;  // time for the processes to measure what a warm instance gets
+constexpr EngineId kNewInstance = 1;
+constexpr EngineId kWarmInstances = 5;
 
-// What the operators allow over `calls`, for chance and for processes that cannot talk to each other.
+// Tolerance over `calls` for chance and for processes that cannot communicate, as the operators allow it.
 double allowed(double calls) {
   const double root = std::sqrt(calls);
   return calls + (calls < 30.0 ? 3.0 * root + 3.0 : 2.0 * root + 2.0);
 }
 
-// Processes around readers, one of which has just started. Attempts end well after a fixed time, but for some
-// that fail at warm servers and are made again.
-class SlowStart {
+// Processes that send to prefill instances, one of which has just started. Attempts succeed after a fixed
+// time, except for a share that fails at warm instances and is retried.
+class SlowStartSimulation {
  public:
-  SlowStart(std::uint32_t processes, double per_second, bool unequal, double failing)
+  SlowStartSimulation(std::uint32_t processes, double per_second, bool unequal, double failing)
       : settings_(plain_settings()), rate_(per_second), failing_(failing) {
     settings_.fronts = processes;
-    for (EngineId id = kFresh; id <= kFresh + kWarmReaders; ++id) list_.push_back(entry(id, 0, 0));
+    for (EngineId id = kNewInstance; id <= kNewInstance + kWarmInstances; ++id)
+      list_.push_back(entry(id, 0, 0));
     for (EngineId id = 101; id <= 106; ++id) list_.push_back(entry(id, 1, 0));
     for (std::uint32_t i = 0; i < processes; ++i) {
       settings_.seed = i + 1;
@@ -56,28 +57,29 @@
     }
   }
 
-  // Every process is told at once that the server has just started.
+  // Tells every process at the same moment that the instance has just started.
   void restart() {
     started_ = now_;
-    std::vector<EngineEntry> fresh{list_.front()};
-    fresh.front().started = processes_.front()->now;
+    std::vector<EngineEntry> new_entry{list_.front()};
+    new_entry.front().started = processes_.front()->now;
     for (const auto& process : processes_) {
-      collect(*process, [&] { process->give({ListChanged{ListScope::changes, fresh}}); });
+      collect(*process, [&] { process->give({ListChanged{ListScope::changes, new_entry}}); });
     }
-    to_fresh_.clear();
-    to_warm_ = 0;
+    sent_to_new_.clear();
+    sent_to_warm_ = 0;
   }
 
-  // The most calls over the budget in any window of the time that the settings name; negative: none is over.
+  // Largest excess of calls over the budget in any window of `fall_time`; negative if every window is within
+  // it.
   [[nodiscard]] double worst_excess() const {
     const double lasted = std::chrono::duration<double>(now_ - started_).count();
-    const double warm_rate = double(to_warm_) / double(kWarmReaders) / lasted;
+    const double warm_rate = double(sent_to_warm_) / double(kWarmInstances) / lasted;
     double worst = -1e9;
-    for (std::size_t first = 0; first < to_fresh_.size(); ++first) {
-      const Time until = to_fresh_[first] + settings_.rules.fall_time;
-      const auto last = std::upper_bound(to_fresh_.begin(), to_fresh_.end(), until);
-      const double calls = double(last - to_fresh_.begin()) - double(first);
-      const double age = std::chrono::duration<double>(to_fresh_[first] - started_) /
+    for (std::size_t first = 0; first < sent_to_new_.size(); ++first) {
+      const Time until = sent_to_new_[first] + settings_.rules.fall_time;
+      const auto last = std::upper_bound(sent_to_new_.begin(), sent_to_new_.end(), until);
+      const double calls = double(last - sent_to_new_.begin()) - double(first);
+      const double age = std::chrono::duration<double>(sent_to_new_[first] - started_) /
                          std::chrono::duration<double>(settings_.rules.cold_time);
       const double part = settings_.rules.cold_from + (1.0 - settings_.rules.cold_from) * std::min(1.0, age);
       const double seconds = std::chrono::duration<double>(settings_.rules.fall_time).count();
@@ -85,7 +87,7 @@
     }
     return worst;
   }
-  [[nodiscard]] std::size_t sent_to_fresh() const { return to_fresh_.size(); }
+  [[nodiscard]] std::size_t sent_to_new() const { return sent_to_new_.size(); }
 
  private:
   struct Call {
@@ -96,7 +98,7 @@
     Time ends{0};
   };
 
-  // Does something at a process, and takes note of what it sends.
+  // Runs `act` at a process and records what it sends.
   template <typename Do>
   void collect(Front& process, Do act) {
     const std::size_t before = process.log.size();
@@ -105,8 +107,8 @@
       const auto* send = std::get_if<Send>(&process.log[i]);
       if (send == nullptr) continue;
       calls_.push_back({&process, send->id, attempts_[send->id]++, send->engine, now_ + kServiceTime});
-      if (send->engine == kFresh) to_fresh_.push_back(now_);
-      if (send->engine > kFresh && send->engine <= kFresh + kWarmReaders) ++to_warm_;
+      if (send->engine == kNewInstance) sent_to_new_.push_back(now_);
+      if (send->engine > kNewInstance && send->engine <= kNewInstance + kWarmInstances) ++sent_to_warm_;
     }
   }
 
@@ -116,12 +118,12 @@
     const std::vector<Call> ended(due, calls_.end());
     calls_.erase(due, calls_.end());
     for (const Call& call : ended) {
-      const bool reader = call.engine <= kFresh + kWarmReaders;
-      const bool fails = reader && call.engine != kFresh && unit_(random_) < failing_;
-      const Outcome outcome = fails ? Outcome::error : reader ? Outcome::state_held : Outcome::served;
+      const bool prefill = call.engine <= kNewInstance + kWarmInstances;
+      const bool fails = prefill && call.engine != kNewInstance && unit_(random_) < failing_;
+      const Outcome outcome = fails ? Outcome::error : prefill ? Outcome::state_held : Outcome::served;
       Front& process = *call.process;
-      if (!reader) process.stream(call.id, call.attempt, call.engine);
-      collect(process, [&] { process.end(call.id, call.attempt, call.engine, outcome, 0, !reader); });
+      if (!prefill) process.stream(call.id, call.attempt, call.engine);
+      collect(process, [&] { process.end(call.id, call.attempt, call.engine, outcome, 0, !prefill); });
     }
   }
 
@@ -136,26 +138,26 @@
   RequestId last_id_ = 0;
   std::map<RequestId, int> attempts_;
   std::vector<Call> calls_;
-  std::vector<Time> to_fresh_;
-  std::int64_t to_warm_ = 0;
+  std::vector<Time> sent_to_new_;
+  std::int64_t sent_to_warm_ = 0;
 };
 
-class SlowStartOf : public testing::TestWithParam<std::uint32_t> {};
+class SlowStartProcesses : public testing::TestWithParam<std::uint32_t> {};
 
-TEST_P(SlowStartOf, AllProcessesTogetherKeepsTheBudget) {
+TEST_P(SlowStartProcesses, TogetherStayWithinTheBudget) {
   for (const auto& [per_second, unequal, failing] :
        {std::tuple(30.0, false, 0.0), std::tuple(30.0, true, 0.3), std::tuple(150.0, true, 0.1)}) {
-    SlowStart site(GetParam(), per_second, unequal, failing);
-    site.run(kWarmUp);
-    site.restart();
-    site.run(plain_settings().rules.cold_time);
-    EXPECT_LE(site.worst_excess(), 0.0)
-        << per_second << " a second, " << (unequal ? "unequal" : "equal") << ", failing " << failing;
-    EXPECT_GT(site.sent_to_fresh(), 0u) << per_second << " a second";
+    SlowStartSimulation simulation(GetParam(), per_second, unequal, failing);
+    simulation.run(kWarmUp);
+    simulation.restart();
+    simulation.run(plain_settings().rules.cold_time);
+    EXPECT_LE(simulation.worst_excess(), 0.0)
+        << per_second << " per second, " << (unequal ? "unequal" : "equal") << ", failure share " << failing;
+    EXPECT_GT(simulation.sent_to_new(), 0u) << per_second << " per second";
   }
 }
 
-INSTANTIATE_TEST_SUITE_P(Processes, SlowStartOf, testing::Values(1, 3, 8, 30, 300));
+INSTANTIATE_TEST_SUITE_P(Processes, SlowStartProcesses, testing::Values(1, 3, 8, 30, 300));
 
 }  // namespace
 }  // namespace eiderarch::test
