--- a/simhost/codec.cpp
+++ b/simhost/codec.cpp
@@ -15,13 +15,13 @@
   throw MalformedInput(std::string("field '") + name + "' " + what);
 }
 
-const Json* find(const Json& object, const char* name) {
+const Json* find_field(const Json& object, const char* name) {
   const auto it = object.find(name);
   return it == object.end() || it->is_null() ? nullptr : &*it;
 }
 
-const Json& need(const Json& object, const char* name) {
-  const Json* value = find(object, name);
+const Json& require_field(const Json& object, const char* name) {
+  const Json* value = find_field(object, name);
   if (value == nullptr) reject(name, "is missing");
   return *value;
 }
@@ -31,12 +31,12 @@
   return value.get<double>();
 }
 
-double number(const Json& object, const char* name, double otherwise) {
-  const Json* value = find(object, name);
-  return value == nullptr ? otherwise : as_number(*value, name);
+double number(const Json& object, const char* name, double fallback) {
+  const Json* value = find_field(object, name);
+  return value == nullptr ? fallback : as_number(*value, name);
 }
 
-double number(const Json& object, const char* name) { return as_number(need(object, name), name); }
+double number(const Json& object, const char* name) { return as_number(require_field(object, name), name); }
 
 std::uint64_t as_integer(const Json& value, const char* name) {
   if (!value.is_number_integer() || (!value.is_number_unsigned() && value.get<std::int64_t>() < 0)) {
@@ -45,29 +45,31 @@
   return value.get<std::uint64_t>();
 }
 
-std::uint64_t integer(const Json& object, const char* name) { return as_integer(need(object, name), name); }
+std::uint64_t integer(const Json& object, const char* name) {
+  return as_integer(require_field(object, name), name);
+}
 
-std::uint64_t integer(const Json& object, const char* name, std::uint64_t otherwise) {
-  const Json* value = find(object, name);
-  return value == nullptr ? otherwise : as_integer(*value, name);
+std::uint64_t integer(const Json& object, const char* name, std::uint64_t fallback) {
+  const Json* value = find_field(object, name);
+  return value == nullptr ? fallback : as_integer(*value, name);
 }
 
-std::uint32_t index(const Json& object, const char* name, std::uint32_t otherwise) {
-  const std::uint64_t value = integer(object, name, otherwise);
+std::uint32_t index(const Json& object, const char* name, std::uint32_t fallback) {
+  const std::uint64_t value = integer(object, name, fallback);
   if (value > UINT32_MAX) reject(name, "is too large");
   return static_cast<std::uint32_t>(value);
 }
 
-bool flag(const Json& object, const char* name) {
-  const Json* value = find(object, name);
+bool bool_or_false(const Json& object, const char* name) {
+  const Json* value = find_field(object, name);
   if (value == nullptr) return false;
   if (!value->is_boolean()) reject(name, "is not true or false");
   return value->get<bool>();
 }
 
-std::string text(const Json& object, const char* name, const std::string& otherwise) {
-  const Json* value = find(object, name);
-  if (value == nullptr) return otherwise;
+std::string string_or(const Json& object, const char* name, const std::string& fallback) {
+  const Json* value = find_field(object, name);
+  if (value == nullptr) return fallback;
   if (!value->is_string()) reject(name, "is not text");
   return value->get<std::string>();
 }
@@ -89,13 +91,13 @@
 
 double seconds(Duration value) { return static_cast<double>(value.count()) / kMicrosPerSecond; }
 
-Key key(const Json& object, const char* name) { return key_of(text(object, name, "")); }
+Key key(const Json& object, const char* name) { return key_of(string_or(object, name, "")); }
 
 template <typename E, std::size_t N>
 using Names = std::array<std::pair<std::string_view, E>, N>;
 
 template <typename E, std::size_t N>
-E name_of(const Names<E, N>& names, const std::string& value, const char* field) {
+E parse_name(const Names<E, N>& names, const std::string& value, const char* field) {
   for (const auto& [name, result] : names) {
     if (name == value) return result;
   }
@@ -136,45 +138,46 @@
                                          {"x0", ReportField::memory_share},
                                          {"x1", ReportField::queued_ktokens}}};
 
-const Json& section(const Json& options, const char* name) {
+const Json& object_or_empty(const Json& options, const char* name) {
   static const Json kEmpty = Json::object();
-  const Json* value = find(options, name);
+  const Json* value = find_field(options, name);
   if (value == nullptr) return kEmpty;
   if (!value->is_object()) reject(name, "is not an object");
   return *value;
 }
 
-const Json& list(const Json& options, const char* name) {
+const Json& array_or_empty(const Json& options, const char* name) {
   static const Json kEmpty = Json::array();
-  const Json* value = find(options, name);
+  const Json* value = find_field(options, name);
   if (value == nullptr) return kEmpty;
   if (!value->is_array()) reject(name, "is not a list");
   return *value;
 }
 
-double element(const Json& values, std::size_t at, const char* name) {
+double number_at(const Json& values, std::size_t at, const char* name) {
   return at < values.size() ? as_number(values[at], name) : 0.0;
 }
 
-const Json& object_in(const Json& value, const char* name) {
+const Json& require_object(const Json& value, const char* name) {
   if (!value.is_object()) reject(name, "holds something that is not an object");
   return value;
 }
 
 std::vector<RequestClass> decode_classes(const Json& options, const Json& family) {
-  const Json& aims = list(family, "aimUsPer1000PromptTokens");
-  const Json& token_aims = list(family, "tokenAimS");
+  const Json& aims = array_or_empty(family, "aimUsPer1000PromptTokens");
+  const Json& token_aims = array_or_empty(family, "tokenAimS");
   std::vector<RequestClass> classes;
-  for (const Json& value : list(options, "categories")) {
-    const Json& row = object_in(value, "categories");
+  for (const Json& value : array_or_empty(options, "categories")) {
+    const Json& row = require_object(value, "categories");
     RequestClass c;
-    c.effect = name_of(kEffects, text(row, "effect", "at_most_once"), "effect");
-    c.group = name_of(kGroups, text(row, "group", "all"), "group");
+    c.effect = parse_name(kEffects, string_or(row, "effect", "at_most_once"), "effect");
+    c.group = parse_name(kGroups, string_or(row, "group", "all"), "group");
     c.repeat_window = duration(row, "windowS");
     c.aim = duration(row, "targetS");
     c.deadline = duration(row, "deadlineS");
-    c.aim_per_kilotoken = Duration(tokens(element(aims, classes.size(), "aimUsPer1000PromptTokens"), "aim"));
-    c.token_aim = from_seconds(element(token_aims, classes.size(), "tokenAimS"), "tokenAimS");
+    c.aim_per_kilotoken =
+        Duration(tokens(number_at(aims, classes.size(), "aimUsPer1000PromptTokens"), "aim"));
+    c.token_aim = from_seconds(number_at(token_aims, classes.size(), "tokenAimS"), "tokenAimS");
     c.worth = number(row, "worth", 1.0);
     c.late_worth = number(row, "lateWorth", 0.0);
     classes.push_back(c);
@@ -183,13 +186,13 @@
 }
 
 std::vector<Kind> decode_kinds(const Json& family) {
-  const Json& memory = list(family, "tokensByKind");
+  const Json& memory = array_or_empty(family, "tokensByKind");
   std::vector<Kind> kinds;
-  for (const Json& value : list(family, "dutyByKind")) {
+  for (const Json& value : array_or_empty(family, "dutyByKind")) {
     if (!value.is_string()) reject("dutyByKind", "holds something that is not text");
     Kind kind;
-    kind.role = name_of(kRoles, value.get<std::string>(), "dutyByKind");
-    kind.memory = tokens(element(memory, kinds.size(), "tokensByKind"), "tokensByKind");
+    kind.role = parse_name(kRoles, value.get<std::string>(), "dutyByKind");
+    kind.memory = tokens(number_at(memory, kinds.size(), "tokensByKind"), "tokensByKind");
     kinds.push_back(kind);
   }
   return kinds;
@@ -197,10 +200,10 @@
 
 LoadReport decode_report(const Json& message) {
   LoadReport report;
-  const Json& values = section(message, "usage");
+  const Json& values = object_or_empty(message, "usage");
   for (const auto& [name, field] : kFields) {
     const std::string key_name(name);
-    if (const Json* value = find(values, key_name.c_str())) {
+    if (const Json* value = find_field(values, key_name.c_str())) {
       report.push_back({field, as_number(*value, key_name.c_str())});
     }
   }
@@ -209,9 +212,9 @@
 
 ListChanged decode_list(const Json& message) {
   ListChanged event;
-  event.scope = name_of(kScopes, text_field(message, "scope"), "scope");
-  for (const Json& value : list(message, "rowsIn")) {
-    event.entries.push_back(decode_entry(object_in(value, "rowsIn"), kSimulatorEntry, {}, {}));
+  event.scope = parse_name(kScopes, text_field(message, "scope"), "scope");
+  for (const Json& value : array_or_empty(message, "rowsIn")) {
+    event.entries.push_back(decode_entry(require_object(value, "rowsIn"), kSimulatorEntry, {}, {}));
   }
   return event;
 }
@@ -228,8 +231,8 @@
   event.max_output = tokens(number(message, "nMax", 0.0), "nMax");
   event.answer_hint = duration(message, "expectedS");
   event.deadline = time_field(message, "deadlineS");
-  event.resumed = flag(message, "reconnect");
-  event.client_retry = flag(message, "isRetry");
+  event.resumed = bool_or_false(message, "reconnect");
+  event.client_retry = bool_or_false(message, "isRetry");
   return event;
 }
 
@@ -238,22 +241,24 @@
   event.id = integer(message, "txn");
   event.attempt = static_cast<int>(index(message, "trial", 0));
   event.engine = integer(message, "engine");
-  event.outcome = name_of(kOutcomes, text_field(message, "outcome"), "outcome");
+  event.outcome = parse_name(kOutcomes, text_field(message, "outcome"), "outcome");
   event.elapsed = duration(message, "elapsedS");
-  event.request_over = flag(message, "last");
+  event.request_over = bool_or_false(message, "last");
   event.detail = tokens(number(message, "detail", 0.0), "detail");
   event.report = decode_report(message);
   return event;
 }
 
 // Fields common to all action lines.
-Json line(const char* type, const std::string& instance) { return {{"type", type}, {"who", instance}}; }
+Json action_json(const char* type, const std::string& instance) {
+  return {{"type", type}, {"who", instance}};
+}
 
 struct Encoder {
   const std::string& instance;
 
   Json request(const char* type, RequestId id) const {
-    Json out = line(type, instance);
+    Json out = action_json(type, instance);
     out["txn"] = id;
     return out;
   }
@@ -282,24 +287,24 @@
     return out;
   }
   Json operator()(const Probe& a) const {
-    Json out = line("INSPECT", instance);
+    Json out = action_json("INSPECT", instance);
     out["engine"] = a.engine;
     return out;
   }
   Json operator()(const SetTimer& a) const {
-    Json out = line("WAKE_ME", instance);
+    Json out = action_json("WAKE_ME", instance);
     out["tag"] = std::to_string(a.tag);
     out["fireAtS"] = seconds(a.at);
     return out;
   }
   Json operator()(const Subscribe&) const {
-    Json out = line("TRACK", instance);
+    Json out = action_json("TRACK", instance);
     out["on"] = true;
     return out;
   }
-  Json operator()(const FetchList&) const { return line("REFRESH", instance); }
+  Json operator()(const FetchList&) const { return action_json("REFRESH", instance); }
   Json operator()(const Log& a) const {
-    Json out = line("LOG", instance);
+    Json out = action_json("LOG", instance);
     out["message"] = a.message;
     return out;
   }
@@ -315,8 +320,8 @@
 }
 
 std::string text_field(const Json& object, const char* name) {
-  need(object, name);
-  return text(object, name, "");
+  require_field(object, name);
+  return string_or(object, name, "");
 }
 
 Time time_field(const Json& object, const char* name) { return from_seconds(number(object, name), name); }
@@ -335,8 +340,8 @@
 namespace {
 
 // Reads an index, or the position of a name in `names`.
-std::uint32_t place(const Json& row, const char* name, const std::vector<std::string>& names) {
-  const Json* value = find(row, name);
+std::uint32_t index_or_position(const Json& row, const char* name, const std::vector<std::string>& names) {
+  const Json* value = find_field(row, name);
   if (value == nullptr || !value->is_string()) return index(row, name, 0);
   const auto it = std::find(names.begin(), names.end(), value->get<std::string>());
   if (it == names.end()) reject(name, ("has the unknown value '" + value->get<std::string>() + "'").c_str());
@@ -351,41 +356,41 @@
                                       {form.states[1], EngineState::draining},
                                       {form.states[2], EngineState::gone}}};
   EngineEntry entry;
-  const Json& engine = need(row, form.engine);
+  const Json& engine = require_field(row, form.engine);
   entry.engine = engine.is_string() ? key(row, form.engine) : as_integer(engine, form.engine);
-  entry.state = name_of(states, text(row, form.state, form.states[0]), form.state);
-  entry.zone = place(row, form.zone, zones);
+  entry.state = parse_name(states, string_or(row, form.state, form.states[0]), form.state);
+  entry.zone = index_or_position(row, form.zone, zones);
   entry.cell = index(row, form.cell, 0);
-  entry.kind = place(row, form.kind, kinds);
+  entry.kind = index_or_position(row, form.kind, kinds);
   entry.rating = number(row, form.rating, 1.0);
   entry.started = from_seconds(number(row, form.started, 0.0) / form.started_per_second, form.started);
   return entry;
 }
 
 Settings decode_settings(const Json& init) {
-  need(init, "options");
-  return decode_options(section(init, "options"), integer(init, "rngSeed", 0));
+  require_field(init, "options");
+  return decode_options(object_or_empty(init, "options"), integer(init, "rngSeed", 0));
 }
 
 Settings decode_options(const Json& options, std::uint64_t seed) {
-  const Json& family = section(options, "familyInfo");
-  const Json& limits = section(options, "policyLimits");
-  const Json& rules = section(options, "rules");
-  const Json& prices = section(options, "prices");
+  const Json& family = object_or_empty(options, "familyInfo");
+  const Json& limits = object_or_empty(options, "policyLimits");
+  const Json& rules = object_or_empty(options, "rules");
+  const Json& prices = object_or_empty(options, "prices");
   Settings s;
   s.seed = seed;
   s.zone = index(options, "zone", 0);
   s.fronts = index(options, "nInstances", 1);
   s.classes = decode_classes(options, family);
   s.kinds = decode_kinds(family);
-  for (const Json& value : list(options, "tenants")) {
-    s.tenants.push_back({number(object_in(value, "tenants"), "quotaRps", 0.0)});
+  for (const Json& value : array_or_empty(options, "tenants")) {
+    s.tenants.push_back({number(require_object(value, "tenants"), "quotaRps", 0.0)});
   }
   s.over_share_worth = number(options, "overShareWorth", 1.0);
-  s.limits.cancel = flag(limits, "cancel");
-  s.limits.probes = flag(limits, "mayProbe");
-  s.limits.second_copies = flag(limits, "secondCopies");
-  s.limits.retry_advice = flag(limits, "retryAfter");
+  s.limits.cancel = bool_or_false(limits, "cancel");
+  s.limits.probes = bool_or_false(limits, "mayProbe");
+  s.limits.second_copies = bool_or_false(limits, "secondCopies");
+  s.limits.retry_advice = bool_or_false(limits, "retryAfter");
   s.limits.max_attempts =
       static_cast<int>(std::min<std::uint32_t>(index(limits, "maxAttempts", 1), INT32_MAX));
   s.limits.max_retry_advice = duration(limits, "maxRetryAfterS");
@@ -402,12 +407,13 @@
   s.prices.probe = number(prices, "probe", 0.0);
   s.prices.moves = number(prices, "moves", 0.0);
   s.prices.far_tokens = number(family, "transferPrice", 0.0);
-  s.list_mode = name_of(kListModes, text(options, "registryMode", "pushed"), "registryMode");
-  s.report_mode = name_of(kReportModes, text(section(options, "report"), "how", "silent"), "how");
-  s.rating = name_of(kRatings, text(options, "weights", "silent"), "weights");
-  s.claim_ahead = flag(family, "ahead");
-  s.resume = flag(family, "resume");
-  s.writers_read = flag(family, "writersRead");
+  s.list_mode = parse_name(kListModes, string_or(options, "registryMode", "pushed"), "registryMode");
+  s.report_mode =
+      parse_name(kReportModes, string_or(object_or_empty(options, "report"), "how", "silent"), "how");
+  s.rating = parse_name(kRatings, string_or(options, "weights", "silent"), "weights");
+  s.claim_ahead = bool_or_false(family, "ahead");
+  s.resume = bool_or_false(family, "resume");
+  s.writers_read = bool_or_false(family, "writersRead");
   return s;
 }
 
@@ -429,7 +435,7 @@
     return TimerFired{std::stoull(tag)};
   }
   if (type == "PONG") {
-    return ProbeEnded{integer(m, "engine"), name_of(kOutcomes, text_field(m, "outcome"), "outcome"),
+    return ProbeEnded{integer(m, "engine"), parse_name(kOutcomes, text_field(m, "outcome"), "outcome"),
                       duration(m, "elapsedS"), decode_report(m)};
   }
   return {};
@@ -440,7 +446,7 @@
 }
 
 std::string encode_crash(const std::string& instance, const std::string& message) {
-  Json out = line("CRASH", instance);
+  Json out = action_json("CRASH", instance);
   out["message"] = message;
   return out.dump(-1, ' ', false, Json::error_handler_t::replace);
 }
