--- a/include/eiderarch/router.hpp
+++ b/include/eiderarch/router.hpp
@@ -1,7 +1,8 @@
 // Public interface of eiderarch: settings, events, actions and the Router. The decisions are implemented in
-// src/router/. A router decides for one front, which sends clients' requests to engines (model server
-// instances). A request is prefilled by a reader, which then holds its KV cache (its state) until a writer
-// has fetched it to decode the answer, or the whole request is served by one engine.
+// src/router/. A router decides for one front, which sends clients' requests to model server instances
+// (EngineId). A prefill instance (Role::reader) processes the prompt and holds the resulting KV cache until a
+// decode instance (Role::writer) has fetched it to generate the answer; an instance of both roles may serve
+// the whole request.
 #pragma once
 
 #include <chrono>
@@ -24,15 +25,15 @@
 
 // ---- Settings of one front, fixed at its start ----
 
-// A reader prefills prompts, a writer decodes answers.
+// reader: prefill instance, writer: decode instance.
 enum class Role { reader, writer, both };
 // Effect of executing a request twice: none (safe), none where the RepeatGroup recognises the repeat within
 // its window (keyed), or harmful (unsafe).
 enum class Effect { safe, keyed, unsafe };
-// Engines that recognise a repeat of a keyed request: all, or those of the same zone or cell.
+// Instances that recognise a repeat of a keyed request: all, or those of the same zone or cell.
 enum class RepeatGroup { all, zone, cell };
 enum class ListMode { pushed, on_request };
-// Which answers of an engine carry load reports: none, those to probes, or all.
+// Which answers of an instance carry load reports: none, those to probes, or all.
 enum class ReportMode { none, probes, answers };
 enum class ReportField {
   none,
@@ -79,11 +80,11 @@
 
 struct Rules {
   Duration drain_grace{0};
-  Duration cold_time{0};       // length of an engine's slow start
+  Duration cold_time{0};       // length of an instance's slow start
   Duration fall_time{0};       // window over which the slow-start budget is measured
   Duration release_within{0};  // how long something may be held for a request with no attempt under way
   Duration ask_within{0};
-  double cold_from = 1.0;        // share of a warm engine's load that slow start begins with
+  double cold_from = 1.0;        // share of a warm instance's load that slow start begins with
   double overload_factor = 1.0;  // multiple of that share which the budget allows
 };
 
@@ -110,9 +111,9 @@
   ListMode list_mode = ListMode::pushed;
   ReportMode report_mode = ReportMode::none;
   Rating rating = Rating::none;
-  bool claim_ahead = false;   // a writer may be reserved before the prefill ends
-  bool resume = false;        // broken-off answers may be resumed at another engine
-  bool writers_read = false;  // writers can prefill as well
+  bool claim_ahead = false;   // a decode instance may be reserved before the prefill ends
+  bool resume = false;        // broken-off answers may be resumed at another instance
+  bool writers_read = false;  // decode instances can prefill as well
 };
 
 // ---- Events ----
@@ -129,7 +130,7 @@
   std::uint32_t zone = 0;
   std::uint32_t cell = 0;
   std::uint32_t kind = 0;
-  double rating = 1.0;  // relative size of the engine
+  double rating = 1.0;  // relative size of the instance
   Time started{0};      // 0: long ago
 };
 
@@ -149,8 +150,8 @@
   Tokens max_output = 0;
   Duration answer_hint{0};  // expected duration of the answer; 0: unknown
   Time deadline{0};
-  bool resumed = false;  // its answer began at an engine that was lost
-  EngineId lost_at = 0;  // that engine, if `resumed`; 0: unknown
+  bool resumed = false;  // its answer began at an instance that was lost
+  EngineId lost_at = 0;  // that instance, if `resumed`; 0: unknown
   bool client_retry = false;
 };
 
@@ -202,7 +203,7 @@
   RequestId id = 0;
 };
 
-// The client has gone, or its deadline has passed.
+// The request has ended outside the router, for example because its client has gone.
 struct RequestGone {
   RequestId id = 0;
 };
@@ -229,7 +230,7 @@
   Duration timeout{0};  // 0: until the client gives up
   // Latest time at which its last byte may leave; if that cannot be met, it is not sent. 0: no limit.
   Time by{0};
-  bool prefill = false;  // for a reader, where an attempt has no lasting effect
+  bool prefill = false;  // for a prefill instance, where an attempt has no lasting effect
 };
 struct Cancel {
   RequestId id = 0;
@@ -247,7 +248,7 @@
 struct Move {
   RequestId id = 0;
 };
-// Reserves memory for the request at a writer before its prefill ends.
+// Reserves memory for the request at a decode instance before its prefill ends.
 struct ClaimWriter {
   RequestId id = 0;
   EngineId engine = 0;
@@ -287,7 +288,7 @@
   // Processes the events of one moment in order of arrival; returns the actions in the order in which the
   // caller must carry them out.
   [[nodiscard]] std::vector<Action> handle(Time now, const std::vector<Event>& events);
-  // Engines that get no requests for now because they could not be reached or were full.
+  // Instances that get no requests for now because they could not be reached or were full.
   [[nodiscard]] std::vector<EngineId> set_aside(Time now) const;
 
  private:
--- a/simhost/codec.hpp
+++ b/simhost/codec.hpp
@@ -46,7 +46,7 @@
   std::array<const char*, 3> states;  // values of live, draining, gone
 };
 extern const EntryForm kSimulatorEntry;
-// Zones and kinds are indices or names from these lists. A textual engine id is hashed to its key.
+// Zones and kinds are indices or names from these lists. A textual instance id is hashed to its key.
 EngineEntry decode_entry(const Json& row, const EntryForm& form, const std::vector<std::string>& zones,
                          const std::vector<std::string>& kinds);
 
