--- a/src/router/admission.cpp
+++ b/src/router/admission.cpp
@@ -41,9 +41,9 @@
   // The retry advice is spread so that clients refused together do not return together.
   const double spread = kMinRetryAdviceShare +
                         (1.0 - kMinRetryAdviceShare) * unit_interval(mix(settings_.seed + 1, r.arrival.id));
-  const Duration stay =
+  const Duration advice =
       settings_.limits.retry_advice ? micros(spread * seconds(settings_.limits.max_retry_advice)) : 0s;
-  actions_.push_back(harmless ? Action{Refuse{r.arrival.id, stay}} : Action{Fail{r.arrival.id}});
+  actions_.push_back(harmless ? Action{Refuse{r.arrival.id, advice}} : Action{Fail{r.arrival.id}});
   r.stage = Stage::over;
   return true;
 }
--- a/src/router/arrival.cpp
+++ b/src/router/arrival.cpp
@@ -85,16 +85,16 @@
   // If no prefill instance is available, or prefill there costs far more than local prefill (uncached
   // prefixes, load peaks, slow links), a decode instance that can prefill does so. Cost: its running answers
   // slow down.
-  const double local = estimates_.pace(*decode_instance) *
-                       (estimates_.reported_queue(*decode_instance) + kBaseWorkTokens + double(remainder));
+  const double local_cost = estimates_.pace(*decode_instance) * (estimates_.reported_queue(*decode_instance) +
+                                                                 kBaseWorkTokens + double(remainder));
   const double detour_limit =
-      (decode_instance->role == Role::both ? kMixedDetourFactor : kDecodeDetourFactor) * local;
+      (decode_instance->role == Role::both ? kMixedDetourFactor : kDecodeDetourFactor) * local_cost;
   if (can_prefill &&
       (prefill_instance == nullptr ? home_instance_ == 0
                                    : prefill_cost(*prefill_instance, *decode_instance, r) > detour_limit)) {
     if (await_report(*decode_instance)) return false;
     if (now_ - decode_instance->reported_at < kReportValidity &&
-        local > kPrefillAimShare * seconds(r.aim - now_))
+        local_cost > kPrefillAimShare * seconds(r.aim - now_))
       return false;
     return send(r, *decode_instance, false);
   }
--- a/src/router/attempts.cpp
+++ b/src/router/attempts.cpp
@@ -22,9 +22,9 @@
   if (r.cls.effect == Effect::unsafe || now_ + kRepeatMargin >= repeat_deadline(r)) return false;
   for (const Attempt& a : r.attempts) {
     if (!a.may_have_run) continue;
-    const EngineEntry& was = estimates_.instances.at(a.instance).entry;
-    if (r.cls.group == RepeatGroup::zone && was.zone != e.entry.zone) return false;
-    if (r.cls.group == RepeatGroup::cell && was.cell != e.entry.cell) return false;
+    const EngineEntry& earlier = estimates_.instances.at(a.instance).entry;
+    if (r.cls.group == RepeatGroup::zone && earlier.zone != e.entry.zone) return false;
+    if (r.cls.group == RepeatGroup::cell && earlier.cell != e.entry.cell) return false;
   }
   return true;
 }
--- a/src/router/health.cpp
+++ b/src/router/health.cpp
@@ -19,13 +19,13 @@
 // Instances of a role that may get this request, without those that were full a moment ago and, while others
 // are left, without those already tried. Slow instances are handled by score and cost.
 std::vector<Instance*> Router::Impl::candidates(const Request& r, bool prefill) {
-  std::vector<Instance*> pool, fresh;
+  std::vector<Instance*> pool, not_tried;
   for (auto& [id, e] : estimates_.instances) {
     if (e.is_prefill() != prefill || !usable(e, r) || now_ < e.busy_until) continue;
     pool.push_back(&e);
-    if (untried(e, r)) fresh.push_back(&e);
+    if (untried(e, r)) not_tried.push_back(&e);
   }
-  return fresh.empty() ? pool : fresh;
+  return not_tried.empty() ? pool : not_tried;
 }
 
 // With many fronts one front sees few outcomes per instance, so a class's failure share also uses the
--- a/src/router/writer.cpp
+++ b/src/router/writer.cpp
@@ -46,9 +46,10 @@
         (!prefer_local && !has_memory_for(*e, r)))
       continue;
     if (settings_.fronts <= 1 && !within_retry_budget(*e, r)) continue;
-    const double match = double(cached_tokens(*e, r)) / double(std::max<Tokens>(1, r.arrival.prompt_tokens));
-    double score =
-        kCachedShareWeight * match - kLoadWeight * e->resident_tokens / mean - kFailureWeight * failure_share;
+    const double cached_part =
+        double(cached_tokens(*e, r)) / double(std::max<Tokens>(1, r.arrival.prompt_tokens));
+    double score = kCachedShareWeight * cached_part - kLoadWeight * e->resident_tokens / mean -
+                   kFailureWeight * failure_share;
     score -= kPaceWeight * estimates_.pace(*e) / typical_pace;
     if (e->entry.zone != settings_.zone) score -= kCrossZoneScore * settings_.prices.cross_zone;
     if (now_ - e->reported_at < kReportValidity)
