--- a/src/core/conductor.cpp
+++ b/src/core/conductor.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-constexpr Duration kFullStay = 500ms;  // advice to a client refused by a full table
+constexpr Duration kFullStay = 500ms;  // retry delay advised when too many requests are open
 
 }  // namespace
 
@@ -31,7 +31,7 @@
 
 Conductor::~Conductor() { *alive_ = false; }
 
-// ---- From the fronts and discovery ----
+// ---- Calls of the fronts and of discovery ----
 
 RequestId Conductor::take(Ask ask, std::unique_ptr<ClientReply> reply) {
   ++figures_.taken;
@@ -40,9 +40,9 @@
   r.ask = std::move(ask);
   r.reply = std::move(reply);
   r.arrived = scheduler_.now();
-  // Guards memory and sockets: each open request may hold a body and two connections.
+  // Limits memory and sockets: each open request may hold a body and two connections.
   const bool full = requests_.size() >= settings_.max_requests;
-  // Once the rest has been given up there is no time left to serve what comes after it.
+  // After `abandon` there is no time left to serve new requests.
   if (full || given_up_) {
     refuse(r, full ? Ending::Cause::table_full : Ending::Cause::refused, kFullStay);
     tell_end(r);
@@ -77,7 +77,7 @@
   eiderarch::ListChanged event{eiderarch::ListScope::changes, {}};
   for (const EngineId engine : fleet_.set_out(scheduler_.now(), std::move(ids))) {
     event.entries.push_back(fleet_.told(engine));
-    // What was kept open before its restart is no longer anyone's.
+    // Connections from before its restart are no longer valid.
     instances_.forget(fleet_.find(engine)->target);
   }
   if (!event.entries.empty()) post(std::move(event));
@@ -114,7 +114,7 @@
   });
 }
 
-// All that has come in since the last time, in one batch.
+// Passes all events since the last call to the module in one batch.
 void Conductor::flush() {
   flush_due_ = false;
   const std::vector<eiderarch::Event> events = std::exchange(events_, {});
@@ -178,14 +178,14 @@
   if (it != requests_.end() && !it->second->lifecycle.done()) it->second->inbox.push(std::move(event));
 }
 
-// Where a request may end with nothing posted that would bring a flush.
+// For requests that may end without posting an event, which would lead to a flush.
 void Conductor::reap_soon() {
   scheduler_.soon([this, alive = alive_] {
     if (*alive) reap();
   });
 }
 
-// Drops the requests that are over; an exception in one ends that one alone.
+// Removes the requests that have ended. An exception in one request ends only that request.
 void Conductor::reap() {
   std::erase_if(requests_, [this](const auto& p) {
     Request& r = *p.second;
--- a/src/core/conductor.hpp
+++ b/src/core/conductor.hpp
@@ -1,5 +1,5 @@
-// The core: takes requests from the fronts, asks the module at each point of choice and carries out what it
-// says. One thread; everything runs on the scheduler's loop.
+// The core: accepts requests from the fronts, asks the decision module at each point of choice and carries
+// out its actions. Single-threaded; everything runs on the scheduler's loop.
 #pragma once
 
 #include <map>
@@ -24,27 +24,27 @@
 
 struct ConductorSettings {
   eiderarch::Settings module;
-  // A stream this long without an event has lost its instance. Events come every few tokens; its client is to
-  // know within 5 s.
+  // A stream without an event for this long has lost its instance. Events arrive every few tokens, and the
+  // client must be informed within 5 s.
   Duration stall_limit{4'000'000};
-  // By how much discovery's word may come late here while it counts as told already.
+  // How late an update from discovery may arrive here although it already counts for the drain's grace.
   Duration news_late{0};
   std::size_t max_requests = 400;
   std::size_t max_releases = 2000;
 };
 
-// A stream that runs, as one process of this conductor tells it to the one that follows.
+// A running stream, as one process of this conductor describes it to its successor.
 struct RunningStream {
-  Ask ask;  // its facts, and of its payload no more than its name
+  Ask ask;  // its facts, and of its payload only the id
   std::string box;
   int attempts = 1;
-  Duration age{0};    // since it was taken
-  Duration first{0};  // from then to its first event
+  Duration age{0};    // since the request was accepted
+  Duration first{0};  // from then until its first event
   Passed client, instance;
 };
 
-// Owns the requests in hand, the fleet as the list names it, and the module. It refuses or fails what can't
-// be served; nothing here throws for what a client, an instance or discovery did.
+// Owns the open requests, the fleet as listed by discovery, and the decision module. What can't be served is
+// refused or failed; nothing here throws because of what a client, an instance or discovery did.
 class Conductor {
  public:
   using LogFunction = std::function<void(const char* topic, const std::string& text)>;
@@ -56,46 +56,49 @@
   Conductor(const Conductor&) = delete;
   Conductor& operator=(const Conductor&) = delete;
 
-  // Is told of each request's end, refusals by a full table included.
+  // Sets the observer of each request's end, including refusals because too many are open.
   void observe(Observer observer) { observer_ = std::move(observer); }
 
-  // Takes a request; 0 where the table is full and `reply` has been refused.
+  // Accepts a request and returns its id; returns 0 if it was refused at once, because too many are open or
+  // after `abandon`.
   RequestId take(Ask ask, std::unique_ptr<ClientReply> reply);
-  // The client has closed its connection.
+  // Reports that the client has closed its connection.
   void client_gone(RequestId id);
   void news(const FleetNews& news);
-  // The ids that operators have taken out, all of them: nothing new goes there from now on, whatever the list
-  // says, and one that is no longer among them is as one that has just started.
+  // Sets the complete list of ids that operators have taken out of rotation. Nothing new is sent there from
+  // now on, whatever the discovery list says; an instance that returns counts as just started.
   void maintain(std::set<std::string> ids);
-  // Instances on the list, and those of them that get nothing now: out, draining, or set aside by the module.
+  // Number of listed instances, and of those that get nothing at present: out for maintenance, draining, or
+  // set aside by the module.
   [[nodiscard]] std::size_t listed() const;
   [[nodiscard]] std::size_t out_of_rotation() const;
 
-  // Gives up what has not begun to be answered, and whatever still comes, so that each client hears so and
-  // nothing stays held when this process is killed.
+  // Ends all requests that have not begun to be answered, and every later one, so that each client gets a
+  // final answer and nothing stays held when this process is killed.
   void abandon();
 
-  // Offers each stream that runs; one that is taken (true) is over here. Returns how many were.
+  // Offers each running stream to `take`; a stream that is taken (true) ends here. Returns how many were
+  // taken.
   std::size_t pass_streams(const std::function<bool(const RunningStream&)>& take);
-  // Goes on with a stream that another process of this conductor began. `make` opens its attempt, once; where
-  // that gives none, the stream breaks off. The module is not asked: it chose nothing here, and a stream that
-  // has begun belongs to its client.
+  // Continues a stream that another process of this conductor began. `make` opens its attempt and is called
+  // once; if it returns none, the stream breaks off. The module is not involved, since nothing is left to
+  // decide for a stream that has begun.
   using MakeAttempt = std::function<std::unique_ptr<Attempt>(AttemptEvents&)>;
   RequestId take_over(const RunningStream& stream, std::unique_ptr<ClientReply> reply,
                       const MakeAttempt& make);
 
   [[nodiscard]] std::size_t open_requests() const { return requests_.size(); }
   [[nodiscard]] std::size_t most_requests() const { return settings_.max_requests; }
-  // Whether something held has not been let go of yet, at any instance.
+  // Whether something held has not been released yet, at any instance.
   [[nodiscard]] bool releasing() const { return held_.releasing(); }
   [[nodiscard]] const Fleet& fleet() const { return fleet_; }
   [[nodiscard]] const Figures& figures() const { return figures_; }
   [[nodiscard]] const ReleaseFigures& release_figures() const { return held_.release_figures(); }
-  // Own attempts out at an instance.
+  // Number of this conductor's current attempts at an instance.
   [[nodiscard]] std::size_t out_at(EngineId engine) const;
 
  private:
-  // How an attempt ended, and what follows from that.
+  // The end of an attempt and what follows from it.
   struct AttemptEnd {
     eiderarch::Outcome outcome = eiderarch::Outcome::error;
     Tokens detail = 0;
@@ -104,38 +107,38 @@
     bool told = false;
     AnswerPtr answer = {};
     bool passed_on = false;
-    bool ended_there = false;  // by the instance: it is not at work on the request any more
-    bool answered = false;     // the instance has said anything: the attempt had arrived
+    bool ended_there = false;  // by the instance, which no longer works on the request
+    bool answered = false;     // the instance has answered something, so the attempt had arrived
   };
-  // One attempt, from the module's order to its end.
+  // One attempt, from the module's Send to its end.
   struct AttemptInHand {
     eiderarch::Send order;
     int number = 0;  // as the module counts
     Time sent{0};
     ExecutionRecord::Place place;
-    bool prefill = false;  // at an instance that can't execute
+    bool prefill = false;  // at an instance that can't execute the request
     std::optional<Time> written;
     bool aborted = false;
-    std::optional<EngineId> reservation_at;  // to be asked for once the request is written
+    std::optional<EngineId> reservation_at;  // to be requested once the request has been written
     std::optional<AttemptEnd> end;
   };
 
   // The lifecycle of a request, in request_lifecycle.cpp.
   Task serve(Request& r);
-  // Sets the timers of its client's wait for a first token.
+  // Starts the timers for the client's deadline for the first token.
   void watch_deadline(Request& r);
-  // Whether that event ends a request of which no attempt is out; its client then has its final answer.
+  // Whether the event ends a request that has no current attempt; its final answer has then been given.
   bool end_between_attempts(Request& r, const RequestEvent& event);
   AttemptInHand begin_attempt(Request& r, const eiderarch::Send& order);
-  // Opens its connection; false where nothing was or will be sent.
+  // Opens the attempt's connection; false if nothing was or will be sent.
   bool open(Request& r, const AttemptInHand& attempt);
-  // What an attempt that is out does with one event; it may end by that.
+  // Applies one event to the current attempt, which may end it.
   void attempt_step(Request& r, AttemptInHand& attempt, RequestEvent& event);
   void close_attempt(Request& r, AttemptInHand& attempt);
   void record_attempt(Request& r, const AttemptInHand& attempt);
   void account_for_execution(Request& r, const AttemptInHand& attempt);
   void account_for_held_caches(Request& r, const AttemptInHand& attempt);
-  // Gives the client its final answer where the attempt's end brought one; false where the request goes on.
+  // Gives the client its final answer if the end of the attempt brought one; false if the request continues.
   bool conclude_attempt(Request& r, AttemptInHand& attempt);
   // The same for an attempt whose stream has begun.
   bool conclude_stream(Request& r, AttemptInHand& attempt);
@@ -144,39 +147,43 @@
   [[nodiscard]] static AttemptEnd judge(const AttemptResult& result, bool prefill);
   void log_failure(const Request& r, const AttemptInHand& attempt) const;
   void reserve(Request& r, EngineId writer);
-  // Something has been answered for a reservation that was asked for beside the prefill `attempt`.
+  // Handles the answer to a reservation that was requested beside the prefill `attempt`.
   void reservation_answered(RequestId id, const PayloadPtr& payload, EngineId writer, int attempt,
                             RequestId module_id, ClaimAnswer answer);
   [[nodiscard]] HeldCaches::AttemptState attempt_state(RequestId id) const;
-  // What was held for the request has been released, for its time was up.
+  // What was held for the request has been released because the release time was up.
   void held_overdue(RequestId id, Duration held_for);
   [[nodiscard]] bool may_send(EngineId engine) const;
-  // Whether that event has to wait until the last attempt's end has been heard; it comes again then.
+  // Whether the event has to wait until the instance of the last attempt has received its close; it is
+  // delivered again then.
   bool postpone(Request& r, const RequestEvent& event);
   [[nodiscard]] bool at_prefill_instance(const eiderarch::Send& order) const;
   [[nodiscard]] ExecutionRecord::Place place_of(EngineId engine, Time sent) const;
-  // The last line in front of a repeat that its class forbids: logged, and the request fails.
+  // Final check against a repeat that the class forbids: the repeat is not sent, and the request fails.
   bool may_execute_again(Request& r, EngineId engine);
   void fail_barred(Request& r);
   [[nodiscard]] eiderarch::RequestClass request_class(const Request& r) const;
   [[nodiscard]] bool repeat_safe(const Request& r) const;
   void refuse(Request& r, Ending::Cause cause, Duration stay_away = {});
   void fail(Request& r, Ending::Cause cause);
-  // Notes how it ends; the reply is then told of it.
+  // Records how the request ends and returns the ending for its reply.
   const Ending& ends(Request& r, RequestRecord::Result result, Ending::Cause cause, Duration stay_away = {});
   void tell_end(const Request& r);
 
   // A request's stream and its resumption, in stream.cpp.
   void begin_stream(Request& r, const AttemptInHand& attempt);
-  // What a stream does with one event of its attempt, its client or its clock; its end, once it has one.
+  // Applies one event of the attempt, the client or a timer to the stream; returns the attempt's end if it
+  // ended.
   std::optional<AttemptEnd> stream_step(Request& r, RequestEvent& event);
-  // Its end for its client and the figures; false where its instance was lost, which is not the end yet.
+  // Ends the stream for its client and the counters; false if its instance was lost, so that it may be
+  // resumed.
   bool end_stream(Request& r, const AttemptEnd& end);
-  // Its answer goes on elsewhere: from here on the module knows it by another name.
+  // Continues the answer at another instance; the module knows the request by a new id from here on.
   void resume(Request& r, const Onward& onward);
   void break_off(Request& r);
   void expect_more(Request& r, Duration patience);
-  // An event has come: the next one is due by the pace of its instance, where another could go on.
+  // Records an event and starts the timer for the next one. The limit follows the instance's event rate if
+  // another instance could continue the stream.
   void note_event(Request& r);
   [[nodiscard]] bool suspects(const Request& r) const;
 
@@ -184,7 +191,7 @@
   Task follow(Request& r);
   void answer_aborted(Request& r);
 
-  // The module, in conductor.cpp.
+  // The decision module, in conductor.cpp.
   void post(eiderarch::Event event);
   void flush();
   void carry_out(const eiderarch::Action& action);
@@ -206,7 +213,7 @@
   Figures figures_;
   RequestId last_id_ = 0;
   std::map<RequestId, std::unique_ptr<Request>> requests_;
-  std::map<RequestId, RequestId> aliases_;  // the module's later names of requests that went on elsewhere
+  std::map<RequestId, RequestId> aliases_;  // later module ids of requests that were resumed
   recovery::SilenceDetector silence_;
   HeldCaches held_;
   bool given_up_ = false;  // see abandon
--- a/src/core/execution.cpp
+++ b/src/core/execution.cpp
@@ -13,7 +13,7 @@
     case Verdict::served:
       return Outcome::served;
     case Verdict::state_held:
-      // An instance that can execute has not answered with this, and may have executed.
+      // Not an answer of an instance that can execute, so it may have executed.
       return prefill ? Outcome::state_held : Outcome::error;
     case Verdict::turned_away:
     case Verdict::no_state:
@@ -21,8 +21,8 @@
     case Verdict::error:
       return Outcome::error;
     case Verdict::rejected:
-      // A fault of the request's own says nothing of the instance: booked as a failure, a few bad clients
-      // would take all instances out of service.
+      // The request is at fault, not the instance. Counted as the instance's failure, a few clients with
+      // invalid requests would take all instances out of service.
       return Outcome::cancelled;
     case Verdict::broken:
       break;
--- a/src/core/execution.hpp
+++ b/src/core/execution.hpp
@@ -1,6 +1,6 @@
-// Whether a request may have been executed: the one place that reads it from an attempt's end, keeps account
-// of it over all attempts of a request, and says whether one more may be sent. Pure; knows no wire and no
-// clock.
+// Decides whether a request may have been executed. It derives that from the end of each attempt, keeps the
+// record over all attempts of a request, and says whether another attempt may be sent. Independent of wire
+// protocol and clock.
 #pragma once
 
 #include <cstdint>
@@ -11,13 +11,13 @@
 
 namespace bankmux::core {
 
-// How an attempt ended by its instance's word, or by the break of its connection. `prefill`: it was sent to
-// an instance that only reads prompts, so that a held state is an answer. What proves nothing maps to an
+// The outcome of an attempt that ended by its instance's answer or by a broken connection. `prefill`: it was
+// sent to a prefill instance, for which a held state is an answer. A result that proves nothing maps to an
 // outcome for which eiderarch::proves_not_executed is false.
 [[nodiscard]] eiderarch::Outcome outcome_of(const AttemptResult& result, bool prefill);
 
-// How an attempt ended that this side gave up: `not_connected` where its request had not left whole, which no
-// instance executes, else `otherwise`.
+// The outcome of an attempt that this side gave up: `not_connected` if its request had not been written
+// completely, since no instance executes an incomplete request; otherwise `otherwise`.
 [[nodiscard]] eiderarch::Outcome outcome_given_up(Progress progress, eiderarch::Outcome otherwise);
 
 // The attempts of one request that may have executed it.
@@ -30,20 +30,20 @@
     Time sent{0};
   };
 
-  // Notes an attempt at an instance that can execute. Nothing is noted where `outcome` proves that it did
-  // not.
+  // Records an attempt at an instance that can execute the request, unless `outcome` proves that it did not.
   void note(const Place& place, eiderarch::Outcome outcome);
-  // An attempt of which nothing is known but that it may have executed.
+  // Records an attempt that may have executed the request, with its instance unknown.
   void assume_executed() { places_.emplace_back(); }
 
   [[nodiscard]] bool may_have_executed() const { return !places_.empty(); }
 
-  // Whether another attempt at an instance that can execute may begin there and then. A class without effect
-  // may run twice; one that is deduplicated keeps to the group and the window of the first that may have run;
-  // any other may only be sent where no attempt may have run.
+  // Whether another attempt at an instance that can execute may begin at that place and time. A safe class
+  // may execute twice. A keyed class is deduplicated by its instances, and must stay within the group and the
+  // time window of its first attempt that may have executed. Any other class may be sent only if no attempt
+  // may have executed.
   [[nodiscard]] bool permits(const eiderarch::RequestClass& cls, const Place& next) const;
 
-  // Whether the client may be told that to repeat the request does no harm.
+  // Whether the client may be told that a retry is harmless.
   [[nodiscard]] bool permits_refusal(const eiderarch::RequestClass& cls) const;
 
  private:
--- a/src/core/fleet.cpp
+++ b/src/core/fleet.cpp
@@ -8,8 +8,8 @@
 using eiderarch::EngineState;
 using eiderarch::ListScope;
 
-// The wall clock of this machine or of another may have been stepped since this process started, so a listed
-// start may seem up to an hour older than it is. 0 stands for no time but for 'long ago'.
+// The wall clock of this machine or of another one may have been stepped since this process started, so a
+// listed start may seem up to an hour older than it is. 0 means 'long ago', not a time.
 Time Fleet::counted_start(Time listed, Time now, bool witnessed) const {
   if (listed == Time{0}) return listed;
   const Time started = std::min(listed, now);
@@ -20,7 +20,7 @@
   std::vector<EngineId> lost;
   if (news.scope == ListScope::failed) return lost;
   if (news.scope != ListScope::changes) {
-    std::set<EngineId> named;  // lists may be long: once for each entry, not for each pair
+    std::set<EngineId> named;  // one pass over long lists, instead of one for each pair
     for (const Listed& row : news.entries) named.insert(row.entry.engine);
     for (auto& [id, member] : members_) {
       if (named.contains(id) || member.entry.state == EngineState::gone) continue;
@@ -37,7 +37,7 @@
     if (!fresh && (restarted || (gone && member.entry.state != EngineState::gone))) {
       lost.push_back(row.entry.engine);
     }
-    // A whole list may name for the first time what has long been running elsewhere.
+    // A complete list may be the first to name an instance that has been running elsewhere for long.
     const bool witnessed = last_word_ && (!fresh || news.scope == ListScope::changes);
     const Time started = restarted ? counted_start(row.entry.started, now, witnessed) : member.entry.started;
     member.listed_start = row.entry.started;
--- a/src/core/fleet.hpp
+++ b/src/core/fleet.hpp
@@ -1,4 +1,5 @@
-// The instances as the list names them: addresses, and since when each may no longer be sent to.
+// The instances named in the discovery list: their addresses, their state, and since when each of them
+// drains.
 #pragma once
 
 #include <map>
@@ -17,24 +18,26 @@
     Target target;
     eiderarch::EngineEntry entry;
     std::optional<Time> draining_since;  // since when it is known to drain or to be gone
-    bool out = false;                    // for maintenance, by an operator's word
-    Time listed_start{0};  // `entry.started` as listed; the entry's is never later than when it came
-    Time last_heard{0};    // when it last answered anything here
+    bool out = false;                    // taken out of rotation by an operator for maintenance
+    Time listed_start{0};  // start as listed; `entry.started` is never later than when it was received
+    Time last_heard{0};    // when it last answered anything to this process
   };
 
-  // Takes news; returns the instances whose process is gone or new. Changes without an entry say that nothing
-  // has changed. A start that lies ahead of `now` (a clock that is off, a fault) counts as a start at the
-  // moment it was first told, until the list names another; one that this process saw happen is no older than
-  // the word from discovery before it, however old the wall clock makes it.
+  // Applies an update of the list; returns the instances whose process has ended or been replaced. An update
+  // of scope `changes` without entries says that nothing has changed. A listed start in the future (a wrong
+  // clock, or a fault) counts as a start at the time it was first listed, until the list names another one. A
+  // start during the lifetime of this process counts as no earlier than the last update from discovery before
+  // it, even if the wall clock says otherwise.
   std::vector<EngineId> update(Time now, const FleetNews& news);
-  // The ids that are out for maintenance from now on; returns the instances for which that changed. One that
-  // comes back counts as started now: operators restart it meanwhile, and the list may not have said so.
+  // Replaces the set of ids that are out for maintenance; returns the instances for which that changed. One
+  // that returns to rotation counts as started now: operators restart it meanwhile, and the list may not have
+  // said so.
   std::vector<EngineId> set_out(Time now, std::set<std::string> ids);
-  // It has answered something.
+  // Records that the instance has answered something.
   void note_heard(EngineId engine, Time now);
-  // The entry as the module is to know it: one that is out drains, whatever the list says.
+  // The entry as reported to the module: an instance that is out for maintenance counts as draining.
   [[nodiscard]] eiderarch::EngineEntry told(EngineId engine) const;
-  // Whether the list has an instance of that id, or it is out.
+  // Whether the list names an instance with that id, or the id is out for maintenance.
   [[nodiscard]] bool knows(const std::string& id) const;
   [[nodiscard]] const Member* find(EngineId engine) const;
   [[nodiscard]] const std::map<EngineId, Member>& members() const { return members_; }
@@ -43,7 +46,7 @@
   [[nodiscard]] Time counted_start(Time listed, Time now, bool witnessed) const;
 
   std::map<EngineId, Member> members_;
-  std::optional<Time> last_word_;  // from discovery itself; a list from disk is none
+  std::optional<Time> last_word_;  // last update from discovery itself; a list read from disk does not count
   std::set<std::string> out_;
 };
 
--- a/src/core/held_caches.cpp
+++ b/src/core/held_caches.cpp
@@ -10,12 +10,13 @@
 
 namespace {
 
-// What is held has 300 ms beyond the release time until a release has arrived. A loop that is held up may use
-// 150 ms of it twice, as the prefill's answer comes and as the timer strikes; delivery needs the rest.
+// A release must have arrived within 300 ms after the release time. A delayed loop may use 150 ms of that
+// twice, for the prefill's answer and for the timer; delivery needs the rest, so a release starts this much
+// earlier.
 constexpr Duration kBeforeReleaseTime = 100ms;
-// How long a prefill that was cut off is taken to go on, where it has not heard of that.
+// How long a cut-off prefill is assumed to continue if it has not received the close of its connection.
 constexpr Duration kLongestPrefill = 3s;
-constexpr Duration kPastItsTime = 1s;  // past the time that its server was told
+constexpr Duration kPastItsTime = 1s;  // beyond the deadline that the instance was sent
 
 }  // namespace
 
@@ -50,7 +51,7 @@
   if (held->second.prefilling_at == engine) held->second.prefilling_at.reset();
 }
 
-// ---- The clock ----
+// ---- Release clock ----
 
 Duration HeldCaches::allowed() const { return std::max(settings_.release_within - kBeforeReleaseTime, 0us); }
 
@@ -87,9 +88,10 @@
   if (at == held_.end() || !at->second.since) return;
   Held& held = at->second;
   const Duration held_for = scheduler_.now() - *std::exchange(held.since, std::nullopt);
-  // One that has arrived stops the clock, and its end begins it anew.
+  // An attempt that is known to have arrived stops the clock, and its end starts it anew.
   if (hooks_.attempt_state(id) == AttemptState::heard) return;
-  // All stays on record: an attempt that has arrived unheard of keeps what it waits for, past this release.
+  // The record is kept: an attempt that has arrived but not answered yet keeps what it waits for in spite of
+  // this release.
   for (const EngineId engine : held.at)
     delivery_.start({id, held.payload, engine, scheduler_.now(), Time{0}});
   hooks_.overdue(id, held_for);
@@ -143,7 +145,7 @@
   if (held == held_.end()) return Reservation::not_on_record;
   --held->second.reservations_out;
   if (!held->second.let_go) return Reservation::wanted;
-  // Let go of while the call was out: it may have overtaken the release.
+  // Released while the call was out: the reservation may have been made after the release.
   release_at(id, payload, engine);
   if (held->second.reservations_out == 0) held_.erase(held);
   return Reservation::released;
--- a/src/core/held_caches.hpp
+++ b/src/core/held_caches.hpp
@@ -1,6 +1,10 @@
-// The KV caches and reservations that requests may hold at instances, and the clock that the release time
-// sets them. The clock runs while no attempt of the request is known to have arrived at a running instance: a
-// write into a local socket stops nothing. When the time is up all is released, beside such an attempt too.
+// The KV caches and reservations that requests may hold at instances, and the release time of each request. A
+// held cache is what a prefill instance keeps, after it has processed a prompt, until the decode instance has
+// fetched it. A reservation is a place that a decode instance keeps free for a request. The release time of
+// the settings limits how long either may be held without an attempt at work on the request. Its clock runs
+// while no attempt of the request is known to have arrived at a running instance; a write into a local socket
+// is no proof of that and does not stop the clock. When the time is up everything is released, even if such
+// an unproven attempt is out.
 #pragma once
 
 #include <functional>
@@ -19,17 +23,18 @@
 struct HeldCachesSettings {
   std::uint32_t zone = 0;
   std::size_t max_releases = 2000;
-  Duration release_within{0};  // of the settings; 0: none is told, and no clock runs
+  Duration release_within{0};  // release time of the settings; 0: none is set and no clock runs
 };
 
 class HeldCaches {
  public:
-  // `unproven`: its instance has not begun to answer, so that it may never have arrived there.
+  // `unproven`: the instance has not begun to answer, so the attempt may never have arrived.
   enum class AttemptState { none, unproven, heard };
   struct Hooks {
-    // Of the attempt of that request that is out.
+    // State of the request's current attempt.
     std::function<AttemptState(RequestId)> attempt_state;
-    // What was held for the request has been released, for its time is up. `held_for`: since the clock began.
+    // Called when the request's held caches and reservations have been released because the release time was
+    // up. `held_for`: time since the clock started.
     std::function<void(RequestId, Duration held_for)> overdue;
     ReleaseDelivery::LogFunction log;
   };
@@ -37,62 +42,63 @@
   HeldCaches(HeldCachesSettings settings, Fleet& fleet, Scheduler& scheduler, Instances& instances,
              Hooks hooks);
 
-  // A prefill of the request begins there: from its end on its cache may be held.
+  // A prefill of the request begins there; once it has ended, its cache may be held.
   void prefill_begins(RequestId id, const PayloadPtr& payload, EngineId engine);
-  // From now on something may be held there for the request.
+  // From now on the instance may hold something for the request.
   void may_hold(RequestId id, const PayloadPtr& payload, EngineId engine);
-  // Nothing is held there for it any more.
+  // The instance no longer holds anything for the request.
   void holds_nothing(RequestId id, EngineId engine);
   [[nodiscard]] bool may_hold_any(RequestId id) const { return held_.contains(id); }
-  // The request's stream has begun, and with that the instances release the rest by themselves.
+  // Called when the request's stream has begun: the instances then release the rest by themselves.
   void forget(RequestId id) { held_.erase(id); }
 
-  // An attempt that has arrived is over: what is held has the release time from now on.
+  // An attempt that is known to have arrived has ended: the release time starts anew.
   void restart_clock(RequestId id);
-  // An attempt that may not have arrived is over: a clock that runs goes on, one that has struck begins anew.
+  // An attempt that may not have arrived has ended: a running clock continues, an expired one starts anew.
   void continue_clock(RequestId id);
-  // The attempt that is out has been proved to have arrived.
+  // The current attempt is known to have arrived.
   void stop_clock(RequestId id);
 
-  // Releases all that may be held for the request, wherever it is.
+  // Releases everything that may be held for the request, at every instance.
   void release_all(RequestId id);
-  // Releases what may be held for the request at one instance.
+  // Releases what one instance may hold for the request.
   void release_at(RequestId id, const PayloadPtr& payload, EngineId engine);
-  // The same for a prefill whose connection was closed here. It may have ended well just then; or, on a
-  // silent connection, not have heard of that, and hold its cache later, up to `until`, when its time is
-  // over.
+  // The same for a prefill whose connection was closed by this side. It may have completed just then. On a
+  // connection that no longer delivers data it may not have received the close, and may hold its cache later,
+  // up to `until`, the deadline that it was sent.
   void release_cut_off_prefill(RequestId id, const PayloadPtr& payload, EngineId engine, Time until);
-  // Drops the releases still tried there: they would release what a new attempt is about to make. True where
-  // there was one: the attempt has to account for what was held, whose clock goes on.
+  // Drops the pending releases there, because they would release what a new attempt is about to create.
+  // Returns whether there was one: the new attempt then has to account for what was held, and its clock
+  // continues.
   bool withdraw_releases(RequestId id, const PayloadPtr& payload, EngineId engine);
-  // Whether a release has not arrived yet, at any instance.
+  // Whether some release has not arrived yet, at any instance.
   [[nodiscard]] bool releasing() const { return delivery_.pending(); }
   [[nodiscard]] const ReleaseFigures& release_figures() const { return delivery_.figures(); }
 
-  // A reservation has been asked for at an instance, and later been answered. What the answer is worth:
+  // The state of a reservation whose answer has arrived:
   enum class Reservation {
     wanted,        // the request may still use it
-    released,      // the request had let go of all; its release is on its way
+    released,      // the request had released everything; a release of this one has been started
     not_on_record  // the request has ended, or its stream has begun at some instance
   };
   void reservation_asked(RequestId id, const PayloadPtr& payload, EngineId engine);
   Reservation reservation_answered(RequestId id, const PayloadPtr& payload, EngineId engine);
 
  private:
-  // Where something may lie for a request, until a stream has begun or the release has begun.
+  // Where something may be held for a request, until its stream or its release has begun.
   struct Held {
     PayloadPtr payload;
     std::set<EngineId> at;
-    std::optional<EngineId> prefilling_at;  // where a cache is being made
+    std::optional<EngineId> prefilling_at;  // where a prefill is running
     int reservations_out = 0;
     bool let_go = false;
-    std::optional<Time> since;  // the clock's beginning, while it runs
+    std::optional<Time> since;  // start of the clock, while it runs
     std::unique_ptr<Timer> due;
   };
   Held& record(RequestId id, const PayloadPtr& payload);
   void run_clock(RequestId id, Held& held, Time since);
   void time_is_up(RequestId id);
-  // How long after the clock's beginning a release has to go out.
+  // How long after the start of the clock a release has to be sent.
   [[nodiscard]] Duration allowed() const;
 
   HeldCachesSettings settings_;
--- a/src/core/ports.hpp
+++ b/src/core/ports.hpp
@@ -1,5 +1,5 @@
-// What the core asks of the world round it. The core knows no wire: fronts, instances, discovery and the loop
-// stand behind these interfaces.
+// The interfaces between the core and its surroundings. The core depends on no wire protocol: the fronts, the
+// instances, discovery and the event loop implement these interfaces.
 #pragma once
 
 #include <cstdint>
@@ -20,15 +20,15 @@
 using eiderarch::Time;
 using eiderarch::Tokens;
 
-// A request as its front received it; opaque here, handed on unchanged to the instances.
+// A request as its front received it. Opaque to the core, which passes it to the instances unchanged.
 struct Payload;
 using PayloadPtr = std::shared_ptr<const Payload>;
 
-// An instance's own final word on a request, to be handed to the client as it is; opaque like the payload.
+// An instance's own final answer to a request, relayed to the client unchanged. Opaque like the payload.
 struct Answer;
 using AnswerPtr = std::shared_ptr<const Answer>;
 
-// Ends its timer when destroyed.
+// A pending timer; destroying it cancels it.
 class Timer {
  public:
   virtual ~Timer() = default;
@@ -40,104 +40,106 @@
   // Unix time in microseconds; never goes backwards.
   [[nodiscard]] virtual Time now() const = 0;
   [[nodiscard]] virtual std::unique_ptr<Timer> at(Time when, std::function<void()> run) = 0;
-  // Runs once all that the loop has ready now is handled.
+  // Runs `run` after all events that are ready in the loop now have been handled.
   virtual void soon(std::function<void()> run) = 0;
 };
 
-// What is known of a request that ends without a whole answer. Whether its client may try again follows from
-// it.
+// What is known of a request that ends without a complete answer. The front derives from it whether the
+// client may retry.
 struct Ending {
   enum class Cause {
-    refused,      // the module gave it up, and a repeat does no harm
-    table_full,   // too many are open here
-    no_decision,  // the client's time was up before the module had decided
-    failed,       // the module gave it up, and a repeat may do harm
-    broke_off,    // its answer had begun
+    refused,      // the module refused it, and a retry is harmless
+    table_full,   // too many requests are open in this process
+    no_decision,  // the client's deadline passed before the module had decided
+    failed,       // the module failed it, and a retry may execute it twice
+    broke_off,    // its stream broke off after it had begun
   };
   Cause cause = Cause::failed;
-  bool may_have_run = false;  // some attempt at a writer may have reached its model
-  bool repeat_safe = false;   // its class may run twice
-  Duration stay_away{0};      // advised wait; 0: none given
-  bool told = false;          // broke_off: the instance has said so within the stream
-  eiderarch::Outcome last = eiderarch::Outcome::skipped;  // how the last attempt ended
+  bool may_have_run = false;  // some attempt at a decode instance may have executed it
+  bool repeat_safe = false;   // its class may be executed more than once
+  Duration stay_away{0};      // advised delay before a retry; 0: no advice
+  bool told = false;          // broke_off: the instance sent an error event within the stream
+  eiderarch::Outcome last = eiderarch::Outcome::skipped;  // outcome of the last attempt
 };
 
-// How an answer whose instance is lost within its stream can go on.
+// How a streamed answer whose instance was lost can be continued.
 struct Onward {
   enum class What {
-    broken,    // not at all
-    finished,  // nothing but its end was missing, and has been given
-    go_on,     // by `payload`, at another instance
+    broken,    // it cannot be continued
+    finished,  // only the end marker was missing; the reply has supplied it
+    go_on,     // by sending `payload` to another instance
   };
   What what = What::broken;
   PayloadPtr payload;
-  Tokens written = 0;  // of the answer so far: a part of the prompt now
-  Tokens left = 0;     // that may still come; 0: as many as before
+  Tokens written = 0;  // answer tokens sent so far; they become part of the prompt
+  Tokens left = 0;     // answer tokens that may still follow; 0: limit unchanged
   Duration patience{0};
 };
 
-// A connection that another process of this conductor is to go on with: its descriptor, which stays its
-// holder's, and what has to be known beside it; opaque here.
+// A connection that the next process of this conductor takes over: its descriptor, which remains owned by the
+// object that returned it, and the connection state needed to continue. The state is opaque to the core.
 struct Passed {
   int descriptor = -1;
   std::string state;
 };
 
-// The client's side of one request. Exactly one of refuse, fail, relay, or begin with its end or abort is the
-// final answer; destroyed without one, it fails the request.
+// The client's side of one request. Exactly one final answer is given: refuse, fail or relay, or begin
+// followed by end or abort. A reply that is destroyed without a final answer fails the request.
 class ClientReply {
  public:
   virtual ~ClientReply() = default;
-  // Whether its client has closed its connection, or its half of it, as the system knows it: in a loop that
-  // was held up, word of that may still be on its way here.
+  // Whether the operating system reports that the client has closed its connection or its sending half. The
+  // event for that may still be queued when the loop is delayed.
   [[nodiscard]] virtual bool client_closed() const { return false; }
-  // An attempt that may run the request is about to be written to an instance: not one byte has left yet.
+  // Called just before the first byte of an attempt that may execute the request is written to an instance.
   virtual void sending() {}
-  // What `sending` told of has ended, and proved not to have run.
+  // Called when the attempt announced by `sending` has ended and proved not to have executed the request.
   virtual void never_ran() {}
   virtual void refuse(const Ending& ending) = 0;
   virtual void fail(const Ending& ending) = 0;
   virtual void relay(const Answer& answer) = 0;
   virtual void begin() = 0;
   virtual void data(std::string_view bytes) = 0;
-  // Whether the client takes its stream more slowly than it comes. Then `room` is called, once, when it has
-  // caught up; a client that never does is gone at some time.
+  // Whether the client reads its stream more slowly than data arrives. If so, `room` is called once, when the
+  // client has caught up; a client that never catches up is disconnected eventually.
   [[nodiscard]] virtual bool behind(const std::function<void()>& /*room*/) { return false; }
   virtual void end() = 0;
-  // Ends a stream that is not whole: the client must not take it for a whole one.
+  // Ends an incomplete stream in such a way that the client cannot take it for a complete one.
   virtual void abort(const Ending& ending) = 0;
-  // Its instance is lost after its stream has begun, and running it again does no harm.
+  // Called when the instance was lost after the stream had begun and executing the request again is harmless.
   virtual Onward go_on() { return {}; }
-  // Whether that may come to anything, so that an instance may be given up on a suspicion.
+  // Whether `go_on` may succeed, so that an instance may be given up when it is only suspected to have
+  // failed.
   [[nodiscard]] virtual bool may_go_on() const { return false; }
-  // Its client's connection, in the middle of a stream; nothing where it can't be passed on as it is now.
+  // The client's connection in the middle of a stream; nullopt if it cannot be passed on in its present
+  // state.
   [[nodiscard]] virtual std::optional<Passed> passed() const { return std::nullopt; }
-  // It has been passed on: that is this reply's end here, and not a byte more may be written.
+  // The connection has been passed on: the reply ends here without writing anything further.
   virtual void let_go() {}
-  // What another instance has written can't be joined to the answer: nothing of it was given.
+  // Whether the output of another instance could not be joined to the answer; none of it has been sent.
   [[nodiscard]] virtual bool garbled() const { return false; }
 };
 
-// How far an attempt had come. Up to `unwritten` it cannot have run.
+// How far an attempt has progressed. Up to `unwritten` the instance cannot have executed it.
 enum class Progress { not_connected, unwritten, written, head, streaming, ended };
 
-// What the instance said, or that it said nothing.
-// `rejected`: it finds fault with the request itself, and so would any other.
+// The instance's answer, or that it gave none (`broken`). `rejected`: the request itself is invalid, and any
+// other instance would reject it too.
 enum class Verdict { broken, served, state_held, turned_away, no_state, error, rejected };
 
 struct AttemptResult {
   Progress progress = Progress::not_connected;
   Verdict verdict = Verdict::broken;
-  Tokens found = 0;  // prompt tokens found kept
+  Tokens found = 0;  // prompt tokens found in the instance's KV cache
   eiderarch::LoadReport report;
-  bool told = false;  // broken by an error event within the stream
-  AnswerPtr answer;   // where it was rejected
-  // This side closed the connection: the instance has neither answered whole nor ended it, and may go on with
-  // the request until it hears of that.
+  bool told = false;  // ended by an error event within the stream
+  AnswerPtr answer;   // set if the request was rejected
+  // This side closed the connection before the instance had answered completely or ended it. The instance may
+  // go on with the request until it receives the close.
   bool closed_here = false;
 };
 
-// An instance as the list names it.
+// An instance as named in the discovery list.
 struct Target {
   EngineId engine = 0;
   std::string id;
@@ -147,29 +149,30 @@
 class AttemptEvents {
  public:
   virtual ~AttemptEvents() = default;
-  // The last byte of the request is out.
+  // The last byte of the request has been written to the socket.
   virtual void on_written() = 0;
   virtual void on_data(std::string bytes) = 0;
   virtual void on_ended(AttemptResult result) = 0;
 };
 
-// Destroying it closes its connection; no event comes after that.
+// Destroying it closes its connection; no event follows.
 class Attempt {
  public:
   virtual ~Attempt() = default;
   [[nodiscard]] virtual Progress progress() const = 0;
-  // Stops reading, and goes on: the instance's own sending then waits.
+  // Stops or resumes reading, so that the instance's sending is blocked by flow control.
   virtual void pause(bool /*on*/) {}
-  // Its connection, in the middle of a stream; nothing where it can't be passed on as it is now.
+  // The instance's connection in the middle of a stream; nullopt if it cannot be passed on in its present
+  // state.
   [[nodiscard]] virtual std::optional<Passed> passed() const { return std::nullopt; }
 };
 
-// What a request or call can bear of a pooled connection.
+// Conditions under which a request or call may use a pooled connection.
 struct ConnectionTerms {
-  // What it can bring does no harm: a break under the request, which may then be sent again, and an answer of
-  // the exchange before it, come late, whose word would prove nothing of this request.
+  // The faults of a pooled connection are harmless to this exchange: a reset under the request, which may
+  // then be sent again, and a late answer to the previous exchange, which would prove nothing about this one.
   bool trouble_harmless = false;
-  // Only a new connection will do: every idle one may have fallen silent.
+  // Requires a new connection, because every idle one may have stopped delivering data without a reset.
   bool fresh = false;
 };
 
@@ -178,22 +181,22 @@
 class Instances {
  public:
   virtual ~Instances() = default;
-  // `may_write` is asked once the connection is up, before the first byte. The instance is told how long it
-  // has from that byte to `not_after`.
+  // `may_write` is called once the connection is established, before the first byte. The instance is sent the
+  // time left from that byte until `not_after`.
   [[nodiscard]] virtual std::unique_ptr<Attempt> start(const Target& target, const PayloadPtr& payload,
                                                        Time not_after, ConnectionTerms terms,
                                                        std::function<bool()> may_write,
                                                        AttemptEvents& events) = 0;
-  // Asks a writer to hold a place.
+  // Asks a decode instance to reserve a place for the request.
   virtual void claim(const Target& target, const PayloadPtr& payload, std::function<bool()> may_write,
                      std::function<void(ClaimAnswer)> done) = 0;
-  // Releases all that is held for the request there; done(true) once the call has been answered, which alone
-  // proves that it has arrived.
+  // Releases everything held for the request there. done(true) is called only when the instance has answered
+  // the call, since nothing else proves that the call has arrived.
   virtual void release(const Target& target, const PayloadPtr& payload, ConnectionTerms terms,
                        std::function<bool()> may_write, std::function<void(bool)> done) = 0;
   virtual void probe(const Target& target, std::function<bool()> may_write,
                      std::function<void(const AttemptResult&)> done) = 0;
-  // The process behind that name is gone or new: what waits on its old connections is over.
+  // The process behind that name has ended or been replaced: drops its connections and what waits on them.
   virtual void forget(const Target& target) = 0;
 };
 
@@ -204,7 +207,8 @@
   virtual void fetch() = 0;
 };
 
-// One entry of the list: the module's part, and the name and address that it does not need.
+// One entry of the discovery list: the module's part, and the name and address, which the module does not
+// need.
 struct Listed {
   eiderarch::EngineEntry entry;
   std::string id;
--- a/src/core/release_delivery.cpp
+++ b/src/core/release_delivery.cpp
@@ -10,16 +10,19 @@
 
 namespace {
 
-constexpr Duration kRetryAfter = 20ms;  // pause before a release that did not arrive is tried again
-// How long a call may be on its way before others are made too: some round trips between zones. Of the 300 ms
-// beyond the release time a loop that is held up may use half, and the rest has to hold several rounds.
+constexpr Duration kRetryAfter = 20ms;  // pause before a release that did not arrive is retried
+// How long a call may be unanswered before other instances are called too: some round trips between zones. A
+// delayed loop may use half of the 300 ms after the release time, and the rest has to suffice for several
+// rounds.
 constexpr Duration kElsewhereAfter = 40ms;
-// Between repeats: what a prefill comes to hold just after one has to be released by the next.
+// Interval between repeats: what a prefill begins to hold just after one repeat is released by the next.
 constexpr Duration kRepeatEvery = 250ms;
-constexpr std::size_t kMostOthers = 6;     // that are asked; one of them can be reached, or none
-constexpr Duration kTriedFor = 60s;        // what an instance still holds by then it has released by itself
-constexpr int kMostCallsAtInstance = 16;   // at the same time
-constexpr Duration kSlowDelivery = 100ms;  // from which an arrival is logged
+// Number of other instances called in the holder's place. If none of them can be reached, hardly any other
+// can.
+constexpr std::size_t kMostOthers = 6;
+constexpr Duration kTriedFor = 60s;       // by then an instance has released by itself whatever it still held
+constexpr int kMostCallsAtInstance = 16;  // at the same time
+constexpr Duration kSlowDelivery = 100ms;  // deliveries that take at least this long are logged
 
 std::int64_t milliseconds(Duration time) { return time.count() / 1000; }
 
@@ -76,9 +79,9 @@
 bool ReleaseDelivery::pointless(const Release& release, const Fleet::Member* holder) const {
   if (holder == nullptr || holder->entry.started != release.instance_started) return true;
   if (scheduler_.now() >= release.begun + kTriedFor) return true;
-  // A process that the list says is gone and that refused a try has stopped, and what it held went with it:
-  // each further try would only hold a socket, every 20 ms, for as long as the release may be tried. One that
-  // is listed as gone may still run a moment, so one try is made all the same.
+  // A process that is listed as gone and refused a call has stopped, and what it held is freed with it.
+  // Further calls would only occupy a socket every 20 ms for as long as the release may be retried. A process
+  // listed as gone may still run for a moment, so one call is made all the same.
   return release.failed && holder->entry.state == eiderarch::EngineState::gone;
 }
 
@@ -105,10 +108,12 @@
   Release& release = at->second;
   const Fleet::Member* holder = fleet_.find(release.order.engine);
   if (pointless(release, holder)) return abandon(at);
-  // Guards the sockets: an instance that has vanished takes none, and each try there holds one for a while.
+  // Limits the sockets: an instance that has vanished accepts no connection, and each call holds a socket for
+  // a while.
   if (calls_out(release.order.engine) >= kMostCallsAtInstance) return try_holder_later(release, number);
   ++release.calls_out;
-  // One that an attempt there took the place of while it dialled would release what that makes.
+  // If a new attempt replaced this release while it was connecting, it would release what that attempt
+  // creates.
   const auto may_write = [this, number] { return releases_.contains(number); };
   instances_.release(holder->target, release.order.payload,
                      {.trouble_harmless = true, .fresh = new_connection}, may_write,
@@ -135,14 +140,15 @@
 }
 
 void ReleaseDelivery::repeat_later(const Order& order, bool silent) {
-  // The last one comes past the end, so that what came to be held just before it is released, too.
+  // The last repeat is sent after `repeat_until`, so that what was held just before that is released too.
   if (scheduler_.now() > order.repeat_until || repeats_.size() >= settings_.max_releases) return;
   const Time next = scheduler_.now() + kRepeatEvery;
   const Number number = ++last_number_;
   repeats_[number] = {order, silent, scheduler_.at(next, [this, number] { repeat(number); })};
 }
 
-// Not beside an attempt that may be making or fetching a cache anew: its own clock is the request's then.
+// Not sent beside an attempt that may be creating or fetching a cache anew: the release time of that attempt
+// applies then.
 void ReleaseDelivery::repeat(Number number) {
   const auto at = repeats_.find(number);
   if (at == repeats_.end()) return;
@@ -159,23 +165,25 @@
       scheduler_.at(scheduler_.now() + kElsewhereAfter, [this, number] { look_elsewhere(number); });
 }
 
-// Every instance takes a release, and releases what is held at any. One that is cut off, or stops while it
-// holds something, can't be told by itself: seen as caches pinned beside a release tried there in vain.
+// Every instance accepts a release and releases what is held at any instance. The holder may be cut off or
+// stopped while it holds something, and then can't be reached directly: caches stayed pinned while a release
+// was retried there in vain.
 void ReleaseDelivery::look_elsewhere(Number number) {
   const auto at = releases_.find(number);
   if (at == releases_.end() || at->second.taken) return;
   Release& release = at->second;
   const Fleet::Member* holder = fleet_.find(release.order.engine);
   if (holder == nullptr || holder->entry.state == eiderarch::EngineState::gone) return;
-  // An attempt that arrives stops the clock, and it may be making a cache anew. One that has only been
-  // written may never arrive: when the time is up it counts for nothing.
+  // An attempt that has arrived stops the clock, and it may be creating a cache anew. An attempt that has
+  // only been written may never arrive, and no longer delays the release once that is due.
   if (attempt_unproven_(release.order.id) && scheduler_.now() < release.order.due) {
     return look_elsewhere_later(release, number);
   }
   const std::vector<const Fleet::Member*> others = next_others(release);
   if (!others.empty()) look_elsewhere_later(release, number);
   for (const Fleet::Member* other : others) try_other(release, number, *other);
-  // Its idle connections may all be silent while new ones are sound. Last: it may end this release.
+  // The holder's idle connections may all have stopped delivering data while new ones work. Called last,
+  // because it may end this release.
   if (release.calls_out > 0 && !std::exchange(release.asked_afresh, true)) try_holder(number, true);
 }
 
@@ -201,7 +209,7 @@
 void ReleaseDelivery::try_other(Release& release, Number number, const Fleet::Member& other) {
   const EngineId engine = other.entry.engine;
   release.also_at.insert(engine);
-  // Asked again as the connection comes up, which may take longer than the next attempt's beginning.
+  // Checked again when the connection is established, by which time the next attempt may have begun.
   const auto may_write = [this, number, engine] {
     const auto now = releases_.find(number);
     if (now == releases_.end()) return false;
--- a/src/core/release_delivery.hpp
+++ b/src/core/release_delivery.hpp
@@ -1,6 +1,7 @@
-// Delivery of releases of held KV caches and reservations. A release has arrived once a running instance has
-// answered it: neither a written call nor a connection that came up proves that. Until then it is tried at
-// the instance that may hold something, and at others on new connections, for any instance releases all.
+// Delivery of releases of held KV caches and reservations. A release has arrived when a running instance has
+// answered it; neither a written call nor an established connection proves that. Until then it is retried at
+// the instance that may hold something and, on new connections, at other instances, since every instance
+// releases what is held at any instance.
 #pragma once
 
 #include <cstdint>
@@ -17,33 +18,33 @@
 
 namespace bankmux::core {
 
-// Counts since the process started.
+// Counters since the process started.
 struct ReleaseFigures {
   std::uint64_t begun = 0;
   std::uint64_t answered = 0;         // by the instance that may have held something
-  std::uint64_t answered_by_any = 0;  // first by another one
-  std::uint64_t tries_failed = 0;     // calls that brought no answer
-  std::uint64_t abandoned = 0;        // pointless or dropped before an answer
+  std::uint64_t answered_by_any = 0;  // first by another instance
+  std::uint64_t tries_failed = 0;     // calls without an answer
+  std::uint64_t abandoned = 0;        // obsolete, or dropped before an answer
 };
 
 class ReleaseDelivery {
  public:
   struct Settings {
-    std::uint32_t zone = 0;           // this conductor's: releases prefer it
-    std::size_t max_releases = 2000;  // waiting at a time; beyond that the oldest is dropped
+    std::uint32_t zone = 0;           // of this conductor; instances in it are preferred
+    std::size_t max_releases = 2000;  // pending at a time; beyond that the oldest is dropped
   };
-  // One release to deliver. From `due` on it goes to other instances also beside an attempt that has not been
-  // heard of: up to then such an attempt may be making a cache anew.
+  // One release to deliver. From `due` on it is also sent to other instances if an attempt of the request is
+  // out that has not answered; before that, such an attempt may be creating a cache anew.
   struct Order {
     RequestId id = 0;
     PayloadPtr payload;
     EngineId engine = 0;
     Time due{0};
-    // Until then something may still come to be held there: a prefill whose connection was closed here, and
-    // that may not have heard of it. The release is repeated until then.
+    // Until then something may still become held there, by a prefill whose connection was closed by this side
+    // and that may not have received the close. The release is repeated until then.
     Time repeat_until{0};
   };
-  // Whether an attempt of that request is out of which nothing has been heard.
+  // Whether an attempt of that request is out that has not answered anything.
   using AttemptUnproven = std::function<bool(RequestId)>;
   using LogFunction = std::function<void(const char* topic, const std::string& text)>;
 
@@ -51,26 +52,27 @@
                   AttemptUnproven attempt_unproven, LogFunction log);
 
   void start(const Order& order);
-  // Drops the releases still tried there: they would release what a new attempt is about to make. Returns the
-  // earliest time at which one of them was due; nothing where there was none.
+  // Drops the pending releases there, because they would release what a new attempt is about to create.
+  // Returns the earliest time at which one of them was due; nullopt if there was none.
   std::optional<Time> withdraw(const PayloadPtr& payload, EngineId engine);
-  // Something that has arrived has restarted the request's clock: its releases are not due before then.
+  // The request's clock was restarted by an attempt that has arrived: its releases are not due before then.
   void postpone(RequestId id, Time due);
-  // Whether a release has not arrived yet, at any instance. One that is only to be repeated has, unless its
-  // instance's connections have shown to be silent, so that the end of its attempt was hardly heard.
+  // Whether some release has not arrived yet, at any instance. A release that is only to be repeated has
+  // arrived, unless its instance's connections have not been delivering data, so that the instance probably
+  // did not receive the end of its attempt.
   [[nodiscard]] bool pending() const;
   [[nodiscard]] const ReleaseFigures& figures() const { return figures_; }
 
  private:
   struct Release {
     Order order;
-    Time instance_started{0};  // of the process that may hold something
+    Time instance_started{0};  // start of the process that may hold something
     Time begun{0};
     int calls_out = 0;
-    bool failed = false;         // a try has not arrived
-    bool taken = false;          // by another instance, which releases what is held at any
-    bool asked_afresh = false;   // its holder, on a new connection
-    std::set<EngineId> also_at;  // others that were asked to
+    bool failed = false;         // a call has failed
+    bool taken = false;          // by another instance, which releases what every holder holds
+    bool asked_afresh = false;   // at its holder, on a new connection
+    std::set<EngineId> also_at;  // other instances that were called
     std::unique_ptr<Timer> again, elsewhere;
   };
   struct Repeat {
@@ -80,7 +82,8 @@
   };
   using Number = std::uint64_t;
 
-  // Whether the instance that the release is for can hold nothing of it any more, or its time is up.
+  // Whether the instance can no longer hold anything for this release, or the release has been tried long
+  // enough.
   [[nodiscard]] bool pointless(const Release& release, const Fleet::Member* holder) const;
   [[nodiscard]] int calls_out(EngineId engine) const;
   void abandon(std::map<Number, Release>::iterator at);
@@ -92,8 +95,8 @@
   void look_elsewhere(Number number);
   void look_elsewhere_later(Release& release, Number number);
   void try_other(Release& release, Number number, const Fleet::Member& other);
-  // The instances to ask next in the holder's place: the one last heard in the own zone, and the one last
-  // heard of all. None where all have been asked.
+  // The next instances to call in the holder's place: the one in this conductor's zone and the one in the
+  // whole fleet that answered most recently. Empty if all have been called.
   [[nodiscard]] std::vector<const Fleet::Member*> next_others(const Release& release) const;
 
   Settings settings_;
--- a/src/core/request.hpp
+++ b/src/core/request.hpp
@@ -1,4 +1,4 @@
-// One request while it is in hand: what it waits for, and what is known of it and of its attempts.
+// The state of one open request: its events, its attempts, and what is known of their execution.
 #pragma once
 
 #include <memory>
@@ -15,23 +15,23 @@
 
 namespace bankmux::core {
 
-// What has come up for a request, beside the module's commands (Send, Cancel, Refuse, Fail, ClaimWriter) and
-// the end of its attempt (AttemptResult).
-struct RequestWritten {};  // its last byte is out to the instance
+// Events of a request, beside the module's commands (Send, Cancel, Refuse, Fail, ClaimWriter) and the end of
+// its attempt (AttemptResult).
+struct RequestWritten {};  // the last byte has been written to the instance
 struct AnswerData {
   std::string bytes;
 };
 struct ClientGone {};
-struct DeadlinePassed {};   // the client's wait for a first token is over
-struct DecisionOverdue {};  // and the module has not ended it
-struct AttemptTimedOut {};  // the module's limit on this attempt
-struct SendTooLate {};      // the module's limit on when its last byte may leave
+struct DeadlinePassed {};   // the client's limit for the first token has passed
+struct DecisionOverdue {};  // and the module has not ended the request since
+struct AttemptTimedOut {};  // the module's time limit for this attempt has passed
+struct SendTooLate {};      // the module's limit for writing the last byte has passed
 struct StreamStalled {};
-struct ClientCaughtUp {};  // it has taken what it was given
-struct HeldOverdue {};     // what was held has been released, for its time was up
-struct InstanceLost {};    // the list no longer knows the attempt's instance
-struct Aborted {};         // this process is about to be ended
-struct PassedOn {};        // another process goes on with its stream
+struct ClientCaughtUp {};  // the client has read what was sent to it
+struct HeldOverdue {};     // the request's held caches were released at the end of the release time
+struct InstanceLost {};    // the attempt's instance has left the list or has been replaced
+struct Aborted {};         // this process is about to be terminated
+struct PassedOn {};        // another process continues the stream
 
 using RequestEvent =
     std::variant<eiderarch::Send, eiderarch::Cancel, eiderarch::Refuse, eiderarch::Fail,
@@ -41,32 +41,32 @@
 
 struct Request : AttemptEvents {
   RequestId id = 0;
-  RequestId module_id = 0;  // the module's name for it: a new one each time its stream is resumed
+  RequestId module_id = 0;  // its id at the module: a new one each time its stream is resumed
   Ask ask;
   std::unique_ptr<ClientReply> reply;
   Inbox<RequestEvent> inbox;
   std::unique_ptr<Timer> deadline, overdue, limit, too_late, stall;
-  // Until then the instance of the last attempt may not have heard that its connection was closed.
+  // Up to this time the last attempt's instance may not have received the close of its connection.
   Time closing_until{0};
-  std::unique_ptr<Timer> postponed;  // brings the event that waits for that
-  bool aborted = false;              // see Conductor::abandon; nothing else is to become of it
+  std::unique_ptr<Timer> postponed;  // delivers the event that waits until `closing_until`
+  bool aborted = false;              // see Conductor::abandon; ignores further commands of the module
   std::unique_ptr<Attempt> attempt;
-  EngineId engine = 0;  // of the attempt that is out
+  EngineId engine = 0;  // of the current attempt
   int attempts = 0;
-  int attempts_before = 0;    // under its earlier names
-  bool streaming = false;     // the attempt that is out has begun its part of the answer
-  Tokens tokens_written = 0;  // of its answer, told to the module as a part of the prompt
-  bool resumed = false;       // the answer has begun, at an instance that was lost
+  int attempts_before = 0;    // under its earlier module ids
+  bool streaming = false;     // the current attempt has begun its part of the answer
+  Tokens tokens_written = 0;  // answer tokens counted to the module as part of the prompt
+  bool resumed = false;       // the answer was begun by an instance that was lost
   ExecutionRecord execution;
-  bool repeat_barred = false;       // the guard at its attempt's first byte did not let it out
-  bool execution_recorded = false;  // its reply knows that this attempt may execute it
-  // The attempt that is out took the place of a release that had not arrived there.
+  bool repeat_barred = false;       // the check before the current attempt's first byte forbade it
+  bool execution_recorded = false;  // `ClientReply::sending` was called for the current attempt
+  // The current attempt replaced a release that had not arrived at its instance.
   bool owes_release = false;
   eiderarch::Outcome last = eiderarch::Outcome::skipped;
   Time arrived{0};
   std::optional<Time> first;       // when its stream began
-  std::optional<Time> last_event;  // of the attempt that is out; none while its client holds it back
-  bool paced = false;              // the attempt that is out counts at its instance's pace
+  std::optional<Time> last_event;  // of the current attempt; empty while the client holds it back
+  bool paced = false;              // the current attempt counts towards its instance's event rate
   std::vector<AttemptRecord> trail;
   RequestRecord::Result result = RequestRecord::Result::failed;
   Ending ending;
@@ -76,7 +76,7 @@
   void on_data(std::string bytes) override { inbox.push(AnswerData{std::move(bytes)}); }
   void on_ended(AttemptResult end) override { inbox.push(std::move(end)); }
 
-  // The number of the last attempt, as the module counts.
+  // The number of the last attempt as the module counts.
   [[nodiscard]] int attempt_number() const { return attempts - attempts_before - 1; }
 };
 
--- a/src/core/request_lifecycle.cpp
+++ b/src/core/request_lifecycle.cpp
@@ -11,18 +11,20 @@
 
 namespace {
 
-constexpr Duration kOverdue = 12ms;  // past the deadline; the client's own grace is 16 ms
-// How long the end of a connection may be on its way to an instance: some times the longest way between
-// zones. A further attempt on a pooled connection near by, or an answer to a client, is quicker.
+constexpr Duration kOverdue = 12ms;  // past the deadline; the client itself allows 16 ms
+// How long the close of a connection may take to reach an instance: several times the longest path between
+// zones. A further attempt on a pooled connection to a nearby instance, or an answer to a client, is faster.
 constexpr Duration kCloseTravels = 10ms;
-constexpr Duration kSlowDial = 100ms;     // from which one that is given up speaks against its instance
-constexpr Duration kDrainMargin = 100ms;  // before the end of the drain's grace: the bytes need time too
+// A connection attempt that is given up after at least this long counts against its instance.
+constexpr Duration kSlowDial = 100ms;
+// Sending stops this long before the end of the drain's grace, since the bytes take time to arrive.
+constexpr Duration kDrainMargin = 100ms;
 
 }  // namespace
 
-// Its events come from the module (Send, Cancel, ClaimWriter, Refuse, Fail), its attempt, its client and its
-// timers, in one inbox. The outer loop waits for the module's next command; the inner one follows the attempt
-// that is out, so that there is never a second one.
+// Serves one request. Events from the module (Send, Cancel, ClaimWriter, Refuse, Fail), the attempt, the
+// client and the timers arrive in one inbox. The outer loop waits for the module's next command, the inner
+// one follows the current attempt, so that there are never two attempts at once.
 Task Conductor::serve(Request& r) {
   post(r.ask.facts);
   bool over = false;
@@ -31,7 +33,7 @@
     if (postpone(r, event)) continue;
     if (end_between_attempts(r, event)) break;
     const auto* order = std::get_if<eiderarch::Send>(&event);
-    if (order == nullptr) continue;  // about an attempt that is over
+    if (order == nullptr) continue;  // concerns an attempt that has ended
 
     AttemptInHand attempt = begin_attempt(r, *order);
     while (!attempt.end) {
@@ -63,7 +65,7 @@
   const bool fails = std::holds_alternative<eiderarch::Fail>(event);
   const bool overdue = std::holds_alternative<DecisionOverdue>(event);
   if (r.resumed && (refusal != nullptr || fails || overdue)) {
-    // Its client has a part of the answer already, so nothing else can follow.
+    // The client already has a part of the answer, so no other answer can follow.
     if (overdue) post(eiderarch::RequestGone{r.module_id});
     break_off(r);
   } else if (refusal != nullptr && !r.execution.permits_refusal(request_class(r))) {
@@ -80,7 +82,8 @@
     post(eiderarch::RequestGone{r.module_id});
     answer_aborted(r);
   } else if (overdue) {
-    // Guards the one final answer: whatever the module still ponders, the client's wait ends here.
+    // Guarantees the final answer in time: the client's wait ends here even if the module has not decided
+    // yet.
     fail(r, Ending::Cause::no_decision);
     post(eiderarch::RequestGone{r.module_id});
   } else {
@@ -121,19 +124,19 @@
   const auto may_write = [this, &r, prefill = attempt.prefill, engine = order.engine, by = order.by,
                           not_after] {
     if (!may_send(engine) || (by > 0us && scheduler_.now() >= by)) return false;
-    // A dial takes time, and a loop that was held up hears of a connection that is up before it hears of a
-    // client that has left or of a time that is over.
+    // Connecting takes time, and a delayed loop handles the established connection before it handles a
+    // client's close or an expired deadline.
     if (scheduler_.now() >= not_after || r.reply->client_closed()) return false;
-    // Whoever keeps account of what may have run has it on record before the first byte.
+    // Whoever records possible executions needs the record before the first byte.
     if (!prefill && !may_execute_again(r, engine)) return false;
     if (!prefill && !std::exchange(r.execution_recorded, true)) r.reply->sending();
-    // A release still being tried there would let go of what this attempt is about to make or fetch. What it
-    // was to let go of is the attempt's to account for from here on. While the attempt dials the release goes
-    // on: a send that has not arrived does not stop the clock of what is held.
+    // A pending release there would release what this attempt is about to create or fetch. From here on the
+    // attempt accounts for what that release covered. The release continues while the attempt connects, since
+    // a request that has not arrived does not stop the release clock.
     r.owes_release |= held_.withdraw_releases(r.id, r.ask.payload, engine);
     return true;
   };
-  // A prefill has no effect, and new connections cost busy prefill instances dear.
+  // A prefill has no effect, and new connections are expensive for busy prefill instances.
   const bool harmless = attempt.prefill || repeat_safe(r);
   const ConnectionTerms terms{harmless};
   r.attempt = instances_.start(member->target, r.ask.payload, not_after, terms, may_write, r);
@@ -144,7 +147,8 @@
   if (std::holds_alternative<RequestWritten>(event)) {
     attempt.written = scheduler_.now();
     ++figures_.written;
-    // A place is asked for once the prefill is on its way: earlier, the decode instance may not know of it.
+    // The reservation is requested once the prefill is written: before that, the decode instance may not know
+    // of it.
     if (attempt.reservation_at) reserve(r, *attempt.reservation_at);
   } else if (const auto* ahead = std::get_if<eiderarch::ClaimWriter>(&event)) {
     attempt.reservation_at = ahead->engine;
@@ -158,7 +162,7 @@
     attempt.end = AttemptEnd{Outcome::cancelled, 0, {}, true};
     post(eiderarch::RequestGone{r.module_id});
   } else if (r.streaming || std::holds_alternative<StreamStalled>(event)) {
-    // Its client's now: neither the module's command nor a deadline counts any more.
+    // The stream belongs to the client now: neither the module's commands nor a deadline apply any more.
     attempt.end = stream_step(r, event);
   } else if (std::holds_alternative<Aborted>(event)) {
     attempt.end = AttemptEnd{outcome_given_up(r.attempt->progress(), Outcome::cancelled), 0, {}, false};
@@ -167,15 +171,15 @@
     if (cancel->attempt == attempt.number) attempt.end = AttemptEnd{Outcome::cancelled, 0, {}, false};
   } else if (std::holds_alternative<DeadlinePassed>(event) ||
              std::holds_alternative<AttemptTimedOut>(event)) {
-    // What was not written whole never ran, and may be said to be harmless to repeat.
+    // A request that was not written completely never ran, so a retry may be called harmless.
     attempt.end = AttemptEnd{outcome_given_up(r.attempt->progress(), Outcome::timed_out), 0, {}, false};
   } else if (std::holds_alternative<SendTooLate>(event) && r.attempt->progress() <= Progress::unwritten) {
     // Its last byte would arrive outside the window in which the class may be repeated.
     attempt.end = AttemptEnd{Outcome::not_connected, 0, {}, false};
   } else if (std::holds_alternative<HeldOverdue>(event) && !attempt.prefill &&
              r.attempt->progress() <= Progress::unwritten) {
-    // What it was to fetch is gone, and it has not arrived. A dial that has just begun says nothing of its
-    // instance: then it counts as one that found no cache.
+    // The cache that it was to fetch has been released, and it has not arrived. If connecting has just begun,
+    // that says nothing about the instance: it then counts as one that found no cache.
     const bool slow = scheduler_.now() - attempt.sent >= kSlowDial;
     attempt.end =
         slow ? AttemptEnd{Outcome::not_connected, 0, {}, false} : AttemptEnd{Outcome::busy, 1, {}, false};
@@ -187,7 +191,8 @@
   r.too_late.reset();
   r.stall.reset();
   log_failure(r, attempt);
-  // Closed before anything else is sent, and heard of there: never two attempts out.
+  // The attempt is closed before anything else is sent, and its instance gets time to receive the close:
+  // there are never two attempts at once.
   if (r.attempt && r.attempt->progress() >= Progress::written && !attempt.end->ended_there) {
     r.closing_until = scheduler_.now() + kCloseTravels;
   }
@@ -234,14 +239,14 @@
     held_.release_at(r.id, r.ask.payload, engine);
     return;
   }
-  // Its connection may have fallen silent: then it has not heard that it was cut off either, and keeps the
-  // place and the cache that it fetched. What proves that it holds nothing is its own answer.
+  // Its connection may have stopped delivering data: then the instance has not received the close, and keeps
+  // the reservation and the cache that it fetched. Only its own answer proves that it holds nothing.
   const bool unheard =
       end.outcome == Outcome::timed_out || end.outcome == Outcome::cancelled || end.outcome == Outcome::reset;
   if (unheard && !r.streaming && end.answer == nullptr && held_.may_hold_any(r.id)) {
     held_.may_hold(r.id, r.ask.payload, engine);
   }
-  // A write into a local socket has proved nothing: only an answer shows that the attempt had arrived.
+  // A write into a local socket proves nothing: only an answer shows that the attempt had arrived.
   end.answered ? held_.restart_clock(r.id) : held_.continue_clock(r.id);
 }
 
@@ -285,13 +290,13 @@
 
 void Conductor::conclude_unanswered(Request& r, AttemptEnd& end) {
   if (end.outcome == Outcome::served) {
-    // An answer without a single event: nothing was served, though it has run.
+    // An answer without a single event: nothing was served, although it has run.
     end.outcome = Outcome::error;
   } else if (end.client_gone) {
     ++figures_.gone;
     r.result = RequestRecord::Result::gone;
   } else if (end.answer != nullptr && r.resumed) {
-    break_off(r);  // the other instance does not take a begun answer
+    break_off(r);  // the other instance did not accept the answer's continuation
   } else if (end.answer != nullptr) {
     ++figures_.failed;
     r.result = RequestRecord::Result::rejected;
@@ -349,8 +354,8 @@
                       (r.streaming ? ", within its stream" : ""));
 }
 
-// Asked by every kind of send but a release, at the last moment before its first byte: nothing is first sent
-// later than the drain's grace after it was told, connecting included.
+// Called by every kind of send except a release, just before its first byte: nothing is first sent later than
+// the drain's grace after the drain was announced, connecting included.
 bool Conductor::may_send(EngineId engine) const {
   const Fleet::Member* member = fleet_.find(engine);
   if (member == nullptr || member->out) return false;
@@ -376,8 +381,8 @@
   const auto request = requests_.find(id);
   if (answer != ClaimAnswer::unknown) fleet_.note_heard(writer, scheduler_.now());
   if (worth == HeldCaches::Reservation::not_on_record) {
-    // Released while the call was out: it may have overtaken the release. Or the stream has begun at another
-    // instance, which released all that was held by then, and of this place no more.
+    // Released while the call was out: the reservation may have been made after the release. Or the stream
+    // has begun at another instance, which released everything held by then, but not a later reservation.
     const bool elsewhere = request == requests_.end() || request->second->engine != writer;
     if (answer != ClaimAnswer::not_held && elsewhere) held_.release_at(id, payload, writer);
     return;
@@ -386,7 +391,7 @@
   if (answer == ClaimAnswer::unknown || request == requests_.end()) return;
   const Request& now = *request->second;
   if (now.module_id != module_id || now.attempt_number() != attempt || !now.attempt) return;
-  // A place is answered for while its prefill is under way: that has arrived.
+  // A reservation is answered while its prefill is in progress, so the prefill has arrived.
   held_.stop_clock(id);
   post(eiderarch::PlaceAnswer{module_id, attempt, writer, answer == ClaimAnswer::held});
 }
@@ -418,14 +423,14 @@
   return request_class(r).effect == eiderarch::Effect::safe;
 }
 
-// One that the settings do not name is not to be repeated.
+// A class that the settings do not name must not be repeated.
 eiderarch::RequestClass Conductor::request_class(const Request& r) const {
   const std::uint32_t cls = r.ask.facts.request_class;
   return cls < settings_.module.classes.size() ? settings_.module.classes[cls] : eiderarch::RequestClass{};
 }
 
-// Whether an attempt there has no effect: the list and the module have to agree on that, for an entry's kind
-// may change or be left out while a request waits.
+// Whether an attempt there has no effect. The list and the module must agree, because an entry's kind may
+// change or be omitted while a request waits.
 bool Conductor::at_prefill_instance(const eiderarch::Send& order) const {
   const Fleet::Member* member = fleet_.find(order.engine);
   return order.prefill && member != nullptr && member->entry.kind < settings_.module.kinds.size() &&
@@ -451,20 +456,20 @@
   fail(r, Ending::Cause::failed);
 }
 
-// A close is heard by the instance only some time later. A further attempt that overtook it would be a second
-// one out, and a refusal would call a request harmless that is still at work somewhere.
+// An instance receives a close only some time later. A further attempt that overtook it would be a second one
+// at once, and a refusal would call a retry harmless while some instance may still work on the request.
 bool Conductor::postpone(Request& r, const RequestEvent& event) {
   const bool abandons = std::holds_alternative<Aborted>(event);
   const bool ends_by_itself =
       std::holds_alternative<ClientGone>(event) || std::holds_alternative<DecisionOverdue>(event);
-  if (r.aborted && !abandons && !ends_by_itself) return true;  // and it does not come again
+  if (r.aborted && !abandons && !ends_by_itself) return true;  // and it is not delivered again
   r.aborted |= abandons;
   const bool refuses = abandons || std::holds_alternative<eiderarch::Refuse>(event);
   const bool overtakes = std::holds_alternative<eiderarch::Send>(event) || (refuses && !repeat_safe(r));
   if (!overtakes || scheduler_.now() >= r.closing_until) return false;
   r.postponed = scheduler_.at(r.closing_until, [this, &r, event] {
     reap_soon();
-    r.inbox.push(event);  // last: it may destroy this timer
+    r.inbox.push(event);  // last, because it may destroy this timer
   });
   return true;
 }
--- a/src/core/shutdown.cpp
+++ b/src/core/shutdown.cpp
@@ -13,7 +13,7 @@
   }
 }
 
-// Refused where it is known to do no harm to try again, else failed.
+// Refuses the request if a retry is known to be harmless, otherwise fails it.
 void Conductor::answer_aborted(Request& r) {
   if (r.execution.permits_refusal(request_class(r))) {
     refuse(r, Ending::Cause::refused);
@@ -34,7 +34,7 @@
     const Time now = scheduler_.now();
     if (!take({r.ask, member->target.id, r.attempts, now - r.arrived, *r.first - r.arrived,
                std::move(*client), std::move(*instance)})) {
-      continue;  // that one not, or not now
+      continue;  // not accepted, or not now
     }
     r.reply->let_go();
     r.inbox.push(PassedOn{});
@@ -67,7 +67,7 @@
   return id;
 }
 
-// A stream that another process of this conductor began, from here to its end.
+// Follows a stream that another process of this conductor began, from here to its end.
 Task Conductor::follow(Request& r) {
   expect_more(r, settings_.stall_limit);
   std::optional<AttemptEnd> end;
@@ -90,7 +90,7 @@
   }
   r.reply.reset();
   tell_end(r);
-  reap_soon();  // from in here it cannot be dropped
+  reap_soon();  // a running coroutine can't be destroyed from inside
 }
 
 }  // namespace bankmux::core
--- a/src/core/stream.cpp
+++ b/src/core/stream.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-constexpr Duration kLostStall = 3s;  // patience with a stream whose instance the list no longer knows
+constexpr Duration kLostStall = 3s;  // stall limit of a stream whose instance has left the list
 
 }  // namespace
 
@@ -35,17 +35,17 @@
     note_event(r);
     r.reply->data(data->bytes);
     if (r.reply->garbled()) return AttemptEnd{Outcome::cancelled, 0, {}, false};
-    // Guards memory: a fast instance must not fill it for a client that reads slowly.
+    // Limits memory: a fast instance must not fill it for a client that reads slowly.
     if (r.reply->behind([&r] { r.inbox.push(ClientCaughtUp{}); })) {
       r.attempt->pause(true);
-      r.stall.reset();  // it is the client that waits now, not the instance
+      r.stall.reset();  // the stream now waits for the client, not for the instance
       r.last_event.reset();
     }
   } else if (std::holds_alternative<ClientCaughtUp>(event)) {
     r.attempt->pause(false);
     expect_more(r, settings_.stall_limit);
   } else if (std::holds_alternative<InstanceLost>(event)) {
-    // A vanished machine resets nothing: its stream would stay open for ever.
+    // A vanished machine sends no reset, so its stream would stay open forever.
     expect_more(r, kLostStall);
   } else if (std::holds_alternative<StreamStalled>(event)) {
     if (suspects(r)) {
@@ -107,7 +107,7 @@
   post(facts);
 }
 
-// The next event of a stream is due by then.
+// Starts the timer for the next event of the stream.
 void Conductor::expect_more(Request& r, Duration patience) {
   r.stall = scheduler_.at(scheduler_.now() + patience, [&r] { r.inbox.push(StreamStalled{}); });
 }
--- a/src/core/task.hpp
+++ b/src/core/task.hpp
@@ -8,7 +8,7 @@
 
 namespace bankmux::core {
 
-// Owns its coroutine, which starts at once and stops at its end until destroyed.
+// Owns a coroutine, which starts at once and stays suspended at its end until it is destroyed.
 class Task {
  public:
   struct promise_type {
@@ -39,8 +39,8 @@
   std::coroutine_handle<promise_type> handle_;
 };
 
-// What one coroutine awaits, in order. A push resumes it at once where it waits, and only queues where it
-// is running already.
+// A queue of items for one coroutine. A push resumes the coroutine at once if it is waiting, and only queues
+// the item if it is running.
 template <typename T>
 class Inbox {
  public:
