--- a/src/core/conductor.cpp
+++ b/src/core/conductor.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-constexpr Duration kFullStay = 500ms;  // retry delay advised when too many requests are open
+constexpr Duration kTableFullRetryDelay = 500ms;  // retry delay advised when too many requests are open
 
 }  // namespace
 
@@ -43,9 +43,9 @@
   // Limits memory and sockets: each open request may hold a body and two connections.
   const bool full = requests_.size() >= settings_.max_requests;
   // After `abandon` there is no time left to serve new requests.
-  if (full || given_up_) {
-    refuse(r, full ? Ending::Cause::table_full : Ending::Cause::refused, kFullStay);
-    tell_end(r);
+  if (full || abandoned_) {
+    refuse(r, full ? Ending::Cause::table_full : Ending::Cause::refused, kTableFullRetryDelay);
+    report_end(r);
     return 0;
   }
   r.id = r.module_id = ++last_id_;
@@ -57,14 +57,14 @@
   return id;
 }
 
-void Conductor::client_gone(RequestId id) { give(id, ClientGone{}); }
+void Conductor::client_gone(RequestId id) { deliver(id, ClientGone{}); }
 
 void Conductor::news(const FleetNews& news) {
   const std::vector<EngineId> lost = fleet_.update(scheduler_.now(), news);
-  for (const EngineId engine : lost) {
-    if (const Fleet::Member* member = fleet_.find(engine)) instances_.forget(member->target);
+  for (const EngineId instance : lost) {
+    if (const Fleet::Member* member = fleet_.find(instance)) instances_.forget(member->target);
     for (auto& [id, r] : requests_) {
-      if (r->attempt && r->engine == engine) r->inbox.push(InstanceLost{});
+      if (r->attempt && r->instance == instance) r->inbox.push(InstanceLost{});
     }
   }
   if (news.scope == eiderarch::ListScope::changes && news.entries.empty()) return;
@@ -75,10 +75,10 @@
 
 void Conductor::maintain(std::set<std::string> ids) {
   eiderarch::ListChanged event{eiderarch::ListScope::changes, {}};
-  for (const EngineId engine : fleet_.set_out(scheduler_.now(), std::move(ids))) {
-    event.entries.push_back(fleet_.told(engine));
+  for (const EngineId instance : fleet_.set_out(scheduler_.now(), std::move(ids))) {
+    event.entries.push_back(fleet_.told(instance));
     // Connections from before its restart are no longer valid.
-    instances_.forget(fleet_.find(engine)->target);
+    instances_.forget(fleet_.find(instance)->target);
   }
   if (!event.entries.empty()) post(std::move(event));
 }
@@ -89,18 +89,18 @@
 }
 
 std::size_t Conductor::out_of_rotation() const {
-  std::set<EngineId> avoided;
-  for (const EngineId engine : router_.set_aside(scheduler_.now())) avoided.insert(engine);
-  return std::size_t(std::ranges::count_if(fleet_.members(), [&avoided](const auto& p) {
+  std::set<EngineId> set_aside;
+  for (const EngineId instance : router_.set_aside(scheduler_.now())) set_aside.insert(instance);
+  return std::size_t(std::ranges::count_if(fleet_.members(), [&set_aside](const auto& p) {
     const Fleet::Member& member = p.second;
-    const bool rests = member.out || member.entry.state == eiderarch::EngineState::draining;
-    return member.entry.state != eiderarch::EngineState::gone && (rests || avoided.contains(p.first));
+    const bool unavailable = member.out || member.entry.state == eiderarch::EngineState::draining;
+    return member.entry.state != eiderarch::EngineState::gone && (unavailable || set_aside.contains(p.first));
   }));
 }
 
-std::size_t Conductor::out_at(EngineId engine) const {
-  return std::size_t(std::ranges::count_if(requests_, [engine](const auto& p) {
-    return p.second->attempt != nullptr && p.second->engine == engine;
+std::size_t Conductor::out_at(EngineId instance) const {
+  return std::size_t(std::ranges::count_if(requests_, [instance](const auto& p) {
+    return p.second->attempt != nullptr && p.second->instance == instance;
   }));
 }
 
@@ -118,11 +118,11 @@
 void Conductor::flush() {
   flush_due_ = false;
   const std::vector<eiderarch::Event> events = std::exchange(events_, {});
-  for (const eiderarch::Action& action : router_.handle(scheduler_.now(), events)) carry_out(action);
+  for (const eiderarch::Action& action : router_.handle(scheduler_.now(), events)) execute(action);
   reap();
 }
 
-void Conductor::carry_out(const eiderarch::Action& action) {
+void Conductor::execute(const eiderarch::Action& action) {
   std::visit(
       [this](const auto& a) {
         using A = std::decay_t<decltype(a)>;
@@ -139,30 +139,30 @@
         } else if constexpr (std::is_same_v<A, eiderarch::Log>) {
           log_("module", a.message);
         } else if constexpr (std::is_same_v<A, eiderarch::Move>) {
-          log_("module", "a move was asked for, which no front here offers");
+          log_("module", "the module ordered a move, which no front supports");
         } else {
-          give(a.id, a);
+          deliver(a.id, a);
         }
       },
       action);
 }
 
-void Conductor::probe(EngineId engine) {
-  const Fleet::Member* member = fleet_.find(engine);
+void Conductor::probe(EngineId instance) {
+  const Fleet::Member* member = fleet_.find(instance);
   if (member == nullptr) return;
   const Time sent = scheduler_.now();
   instances_.probe(
-      member->target, [this, engine] { return may_send(engine); },
-      [this, engine, sent](const AttemptResult& result) {
-        const AttemptEnd end = judge(result, false);
-        if (end.answered) fleet_.note_heard(engine, scheduler_.now());
-        post(eiderarch::ProbeEnded{engine, end.outcome, scheduler_.now() - sent, end.report});
+      member->target, [this, instance] { return may_send(instance); },
+      [this, instance, sent](const AttemptResult& result) {
+        const AttemptEnd end = evaluate(result, false);
+        if (end.answered) fleet_.record_answer(instance, scheduler_.now());
+        post(eiderarch::ProbeEnded{instance, end.outcome, scheduler_.now() - sent, end.report});
       });
 }
 
-void Conductor::set_module_timer(const eiderarch::SetTimer& order) {
+void Conductor::set_module_timer(const eiderarch::SetTimer& command) {
   const std::uint64_t number = ++last_timer_;
-  module_timers_[number] = scheduler_.at(order.at, [this, number, tag = order.tag] {
+  module_timers_[number] = scheduler_.at(command.at, [this, number, tag = command.tag] {
     module_timers_.erase(number);
     post(eiderarch::TimerFired{tag});
   });
@@ -173,7 +173,7 @@
   return alias != aliases_.end() ? alias->second : module_id;
 }
 
-void Conductor::give(RequestId module_id, RequestEvent event) {
+void Conductor::deliver(RequestId module_id, RequestEvent event) {
   const auto it = requests_.find(resolve(module_id));
   if (it != requests_.end() && !it->second->lifecycle.done()) it->second->inbox.push(std::move(event));
 }
--- a/src/core/conductor.hpp
+++ b/src/core/conductor.hpp
@@ -64,6 +64,7 @@
   RequestId take(Ask ask, std::unique_ptr<ClientReply> reply);
   // Reports that the client has closed its connection.
   void client_gone(RequestId id);
+  // Applies an update of the discovery list.
   void news(const FleetNews& news);
   // Sets the complete list of ids that operators have taken out of rotation. Nothing new is sent there from
   // now on, whatever the discovery list says; an instance that returns counts as just started.
@@ -95,7 +96,7 @@
   [[nodiscard]] const Figures& figures() const { return figures_; }
   [[nodiscard]] const ReleaseFigures& release_figures() const { return held_.release_figures(); }
   // Number of this conductor's current attempts at an instance.
-  [[nodiscard]] std::size_t out_at(EngineId engine) const;
+  [[nodiscard]] std::size_t out_at(EngineId instance) const;
 
  private:
   // The end of an attempt and what follows from it.
@@ -107,12 +108,12 @@
     bool told = false;
     AnswerPtr answer = {};
     bool passed_on = false;
-    bool ended_there = false;  // by the instance, which no longer works on the request
-    bool answered = false;     // the instance has answered something, so the attempt had arrived
+    bool ended_by_instance = false;  // by the instance, which no longer works on the request
+    bool answered = false;           // the instance has answered something, so the attempt had arrived
   };
   // One attempt, from the module's Send to its end.
-  struct AttemptInHand {
-    eiderarch::Send order;
+  struct CurrentAttempt {
+    eiderarch::Send command;
     int number = 0;  // as the module counts
     Time sent{0};
     ExecutionRecord::Place place;
@@ -129,49 +130,50 @@
   void watch_deadline(Request& r);
   // Whether the event ends a request that has no current attempt; its final answer has then been given.
   bool end_between_attempts(Request& r, const RequestEvent& event);
-  AttemptInHand begin_attempt(Request& r, const eiderarch::Send& order);
+  CurrentAttempt begin_attempt(Request& r, const eiderarch::Send& command);
   // Opens the attempt's connection; false if nothing was or will be sent.
-  bool open(Request& r, const AttemptInHand& attempt);
+  bool open(Request& r, const CurrentAttempt& attempt);
   // Applies one event to the current attempt, which may end it.
-  void attempt_step(Request& r, AttemptInHand& attempt, RequestEvent& event);
-  void close_attempt(Request& r, AttemptInHand& attempt);
-  void record_attempt(Request& r, const AttemptInHand& attempt);
-  void account_for_execution(Request& r, const AttemptInHand& attempt);
-  void account_for_held_caches(Request& r, const AttemptInHand& attempt);
+  void attempt_step(Request& r, CurrentAttempt& attempt, RequestEvent& event);
+  void close_attempt(Request& r, CurrentAttempt& attempt);
+  void record_attempt(Request& r, const CurrentAttempt& attempt);
+  void account_for_execution(Request& r, const CurrentAttempt& attempt);
+  void account_for_held_caches(Request& r, const CurrentAttempt& attempt);
   // Gives the client its final answer if the end of the attempt brought one; false if the request continues.
-  bool conclude_attempt(Request& r, AttemptInHand& attempt);
+  bool conclude_attempt(Request& r, CurrentAttempt& attempt);
   // The same for an attempt whose stream has begun.
-  bool conclude_stream(Request& r, AttemptInHand& attempt);
+  bool conclude_stream(Request& r, CurrentAttempt& attempt);
   void conclude_unanswered(Request& r, AttemptEnd& end);
-  void tell_module(const Request& r, AttemptInHand& attempt, bool final);
-  [[nodiscard]] static AttemptEnd judge(const AttemptResult& result, bool prefill);
-  void log_failure(const Request& r, const AttemptInHand& attempt) const;
-  void reserve(Request& r, EngineId writer);
+  void report_attempt_end(const Request& r, CurrentAttempt& attempt, bool final);
+  [[nodiscard]] static AttemptEnd evaluate(const AttemptResult& result, bool prefill);
+  void log_failure(const Request& r, const CurrentAttempt& attempt) const;
+  void reserve(Request& r, EngineId decode_instance);
   // Handles the answer to a reservation that was requested beside the prefill `attempt`.
-  void reservation_answered(RequestId id, const PayloadPtr& payload, EngineId writer, int attempt,
+  void reservation_answered(RequestId id, const PayloadPtr& payload, EngineId decode_instance, int attempt,
                             RequestId module_id, ClaimAnswer answer);
   [[nodiscard]] HeldCaches::AttemptState attempt_state(RequestId id) const;
   // What was held for the request has been released because the release time was up.
   void held_overdue(RequestId id, Duration held_for);
-  [[nodiscard]] bool may_send(EngineId engine) const;
+  [[nodiscard]] bool may_send(EngineId instance) const;
   // Whether the event has to wait until the instance of the last attempt has received its close; it is
   // delivered again then.
   bool postpone(Request& r, const RequestEvent& event);
-  [[nodiscard]] bool at_prefill_instance(const eiderarch::Send& order) const;
-  [[nodiscard]] ExecutionRecord::Place place_of(EngineId engine, Time sent) const;
+  [[nodiscard]] bool at_prefill_instance(const eiderarch::Send& command) const;
+  [[nodiscard]] ExecutionRecord::Place place_of(EngineId instance, Time sent) const;
   // Final check against a repeat that the class forbids: the repeat is not sent, and the request fails.
-  bool may_execute_again(Request& r, EngineId engine);
-  void fail_barred(Request& r);
+  bool may_execute_again(Request& r, EngineId instance);
+  void fail_forbidden_repeat(Request& r);
   [[nodiscard]] eiderarch::RequestClass request_class(const Request& r) const;
   [[nodiscard]] bool repeat_safe(const Request& r) const;
   void refuse(Request& r, Ending::Cause cause, Duration stay_away = {});
   void fail(Request& r, Ending::Cause cause);
   // Records how the request ends and returns the ending for its reply.
-  const Ending& ends(Request& r, RequestRecord::Result result, Ending::Cause cause, Duration stay_away = {});
-  void tell_end(const Request& r);
+  const Ending& set_ending(Request& r, RequestRecord::Result result, Ending::Cause cause,
+                           Duration stay_away = {});
+  void report_end(const Request& r);
 
   // A request's stream and its resumption, in stream.cpp.
-  void begin_stream(Request& r, const AttemptInHand& attempt);
+  void begin_stream(Request& r, const CurrentAttempt& attempt);
   // Applies one event of the attempt, the client or a timer to the stream; returns the attempt's end if it
   // ended.
   std::optional<AttemptEnd> stream_step(Request& r, RequestEvent& event);
@@ -181,23 +183,23 @@
   // Continues the answer at another instance; the module knows the request by a new id from here on.
   void resume(Request& r, const Onward& onward);
   void break_off(Request& r);
-  void expect_more(Request& r, Duration patience);
+  void start_stall_timer(Request& r, Duration patience);
   // Records an event and starts the timer for the next one. The limit follows the instance's event rate if
   // another instance could continue the stream.
-  void note_event(Request& r);
-  [[nodiscard]] bool suspects(const Request& r) const;
+  void record_stream_event(Request& r);
+  [[nodiscard]] bool watches_silence(const Request& r) const;
 
   // The end of this process, in shutdown.cpp.
-  Task follow(Request& r);
+  Task follow_stream(Request& r);
   void answer_aborted(Request& r);
 
   // The decision module, in conductor.cpp.
   void post(eiderarch::Event event);
   void flush();
-  void carry_out(const eiderarch::Action& action);
-  void probe(EngineId engine);
-  void set_module_timer(const eiderarch::SetTimer& order);
-  void give(RequestId module_id, RequestEvent event);
+  void execute(const eiderarch::Action& action);
+  void probe(EngineId instance);
+  void set_module_timer(const eiderarch::SetTimer& command);
+  void deliver(RequestId module_id, RequestEvent event);
   [[nodiscard]] RequestId resolve(RequestId module_id) const;
   void reap();
   void reap_soon();
@@ -216,7 +218,7 @@
   std::map<RequestId, RequestId> aliases_;  // later module ids of requests that were resumed
   recovery::SilenceDetector silence_;
   HeldCaches held_;
-  bool given_up_ = false;  // see abandon
+  bool abandoned_ = false;  // see abandon
   std::vector<eiderarch::Event> events_;
   bool flush_due_ = false;
   std::map<std::uint64_t, std::unique_ptr<Timer>> module_timers_;
--- a/src/core/execution.hpp
+++ b/src/core/execution.hpp
@@ -12,8 +12,8 @@
 namespace bankmux::core {
 
 // The outcome of an attempt that ended by its instance's answer or by a broken connection. `prefill`: it was
-// sent to a prefill instance, for which a held state is an answer. A result that proves nothing maps to an
-// outcome for which eiderarch::proves_not_executed is false.
+// sent to a prefill instance, for which a held KV cache (`state_held`) is an answer. A result that proves
+// nothing maps to an outcome for which eiderarch::proves_not_executed is false.
 [[nodiscard]] eiderarch::Outcome outcome_of(const AttemptResult& result, bool prefill);
 
 // The outcome of an attempt that this side gave up: `not_connected` if its request had not been written
--- a/src/core/fleet.cpp
+++ b/src/core/fleet.cpp
@@ -10,10 +10,10 @@
 
 // The wall clock of this machine or of another one may have been stepped since this process started, so a
 // listed start may seem up to an hour older than it is. 0 means 'long ago', not a time.
-Time Fleet::counted_start(Time listed, Time now, bool witnessed) const {
+Time Fleet::effective_start(Time listed, Time now, bool observed) const {
   if (listed == Time{0}) return listed;
   const Time started = std::min(listed, now);
-  return witnessed ? std::max(started, *last_word_) : started;
+  return observed ? std::max(started, *last_update_) : started;
 }
 
 std::vector<EngineId> Fleet::update(Time now, const FleetNews& news) {
@@ -38,8 +38,8 @@
       lost.push_back(row.entry.engine);
     }
     // A complete list may be the first to name an instance that has been running elsewhere for long.
-    const bool witnessed = last_word_ && (!fresh || news.scope == ListScope::changes);
-    const Time started = restarted ? counted_start(row.entry.started, now, witnessed) : member.entry.started;
+    const bool observed = last_update_ && (!fresh || news.scope == ListScope::changes);
+    const Time started = restarted ? effective_start(row.entry.started, now, observed) : member.entry.started;
     member.listed_start = row.entry.started;
     const std::uint32_t kind_before = fresh ? eiderarch::kKindNotNamed : member.entry.kind;
     member.entry = row.entry;
@@ -53,7 +53,7 @@
       member.draining_since = now;
     }
   }
-  if (news.scope != ListScope::disk) last_word_ = now;
+  if (news.scope != ListScope::disk) last_update_ = now;
   return lost;
 }
 
@@ -70,8 +70,8 @@
   return changed;
 }
 
-void Fleet::note_heard(EngineId engine, Time now) {
-  if (const auto it = members_.find(engine); it != members_.end()) it->second.last_heard = now;
+void Fleet::record_answer(EngineId engine, Time now) {
+  if (const auto it = members_.find(engine); it != members_.end()) it->second.last_answer = now;
 }
 
 eiderarch::EngineEntry Fleet::told(EngineId engine) const {
--- a/src/core/fleet.hpp
+++ b/src/core/fleet.hpp
@@ -20,7 +20,7 @@
     std::optional<Time> draining_since;  // since when it is known to drain or to be gone
     bool out = false;                    // taken out of rotation by an operator for maintenance
     Time listed_start{0};  // start as listed; `entry.started` is never later than when it was received
-    Time last_heard{0};    // when it last answered anything to this process
+    Time last_answer{0};   // when it last answered anything to this process
   };
 
   // Applies an update of the list; returns the instances whose process has ended or been replaced. An update
@@ -34,7 +34,7 @@
   // said so.
   std::vector<EngineId> set_out(Time now, std::set<std::string> ids);
   // Records that the instance has answered something.
-  void note_heard(EngineId engine, Time now);
+  void record_answer(EngineId engine, Time now);
   // The entry as reported to the module: an instance that is out for maintenance counts as draining.
   [[nodiscard]] eiderarch::EngineEntry told(EngineId engine) const;
   // Whether the list names an instance with that id, or the id is out for maintenance.
@@ -43,10 +43,11 @@
   [[nodiscard]] const std::map<EngineId, Member>& members() const { return members_; }
 
  private:
-  [[nodiscard]] Time counted_start(Time listed, Time now, bool witnessed) const;
+  [[nodiscard]] Time effective_start(Time listed, Time now, bool observed) const;
 
   std::map<EngineId, Member> members_;
-  std::optional<Time> last_word_;  // last update from discovery itself; a list read from disk does not count
+  std::optional<Time>
+      last_update_;  // last update from discovery itself; a list read from disk does not count
   std::set<std::string> out_;
 };
 
--- a/src/core/held_caches.hpp
+++ b/src/core/held_caches.hpp
@@ -4,7 +4,7 @@
 // the settings limits how long either may be held without an attempt at work on the request. Its clock runs
 // while no attempt of the request is known to have arrived at a running instance; a write into a local socket
 // is no proof of that and does not stop the clock. When the time is up everything is released, even if such
-// an unproven attempt is out.
+// an attempt is out.
 #pragma once
 
 #include <functional>
@@ -28,8 +28,8 @@
 
 class HeldCaches {
  public:
-  // `unproven`: the instance has not begun to answer, so the attempt may never have arrived.
-  enum class AttemptState { none, unproven, heard };
+  // `unanswered`: the instance has not begun to answer, so the attempt may never have arrived.
+  enum class AttemptState { none, unanswered, answered };
   struct Hooks {
     // State of the request's current attempt.
     std::function<AttemptState(RequestId)> attempt_state;
@@ -43,11 +43,11 @@
              Hooks hooks);
 
   // A prefill of the request begins there; once it has ended, its cache may be held.
-  void prefill_begins(RequestId id, const PayloadPtr& payload, EngineId engine);
+  void add_prefill(RequestId id, const PayloadPtr& payload, EngineId instance);
   // From now on the instance may hold something for the request.
-  void may_hold(RequestId id, const PayloadPtr& payload, EngineId engine);
+  void add_holder(RequestId id, const PayloadPtr& payload, EngineId instance);
   // The instance no longer holds anything for the request.
-  void holds_nothing(RequestId id, EngineId engine);
+  void remove_holder(RequestId id, EngineId instance);
   [[nodiscard]] bool may_hold_any(RequestId id) const { return held_.contains(id); }
   // Called when the request's stream has begun: the instances then release the rest by themselves.
   void forget(RequestId id) { held_.erase(id); }
@@ -62,44 +62,44 @@
   // Releases everything that may be held for the request, at every instance.
   void release_all(RequestId id);
   // Releases what one instance may hold for the request.
-  void release_at(RequestId id, const PayloadPtr& payload, EngineId engine);
+  void release_at(RequestId id, const PayloadPtr& payload, EngineId instance);
   // The same for a prefill whose connection was closed by this side. It may have completed just then. On a
   // connection that no longer delivers data it may not have received the close, and may hold its cache later,
   // up to `until`, the deadline that it was sent.
-  void release_cut_off_prefill(RequestId id, const PayloadPtr& payload, EngineId engine, Time until);
+  void release_cut_off_prefill(RequestId id, const PayloadPtr& payload, EngineId instance, Time until);
   // Drops the pending releases there, because they would release what a new attempt is about to create.
   // Returns whether there was one: the new attempt then has to account for what was held, and its clock
   // continues.
-  bool withdraw_releases(RequestId id, const PayloadPtr& payload, EngineId engine);
+  bool withdraw_releases(RequestId id, const PayloadPtr& payload, EngineId instance);
   // Whether some release has not arrived yet, at any instance.
   [[nodiscard]] bool releasing() const { return delivery_.pending(); }
   [[nodiscard]] const ReleaseFigures& release_figures() const { return delivery_.figures(); }
 
   // The state of a reservation whose answer has arrived:
   enum class Reservation {
-    wanted,        // the request may still use it
+    usable,        // the request may still use it
     released,      // the request had released everything; a release of this one has been started
     not_on_record  // the request has ended, or its stream has begun at some instance
   };
-  void reservation_asked(RequestId id, const PayloadPtr& payload, EngineId engine);
-  Reservation reservation_answered(RequestId id, const PayloadPtr& payload, EngineId engine);
+  void reservation_requested(RequestId id, const PayloadPtr& payload, EngineId instance);
+  Reservation reservation_answered(RequestId id, const PayloadPtr& payload, EngineId instance);
 
  private:
   // Where something may be held for a request, until its stream or its release has begun.
   struct Held {
     PayloadPtr payload;
-    std::set<EngineId> at;
+    std::set<EngineId> instances;
     std::optional<EngineId> prefilling_at;  // where a prefill is running
-    int reservations_out = 0;
-    bool let_go = false;
-    std::optional<Time> since;  // start of the clock, while it runs
-    std::unique_ptr<Timer> due;
+    int open_reservations = 0;
+    bool all_released = false;
+    std::optional<Time> clock_start;  // start of the clock, while it runs
+    std::unique_ptr<Timer> release_timer;
   };
   Held& record(RequestId id, const PayloadPtr& payload);
-  void run_clock(RequestId id, Held& held, Time since);
-  void time_is_up(RequestId id);
+  void start_clock(RequestId id, Held& held, Time clock_start);
+  void on_release_due(RequestId id);
   // How long after the start of the clock a release has to be sent.
-  [[nodiscard]] Duration allowed() const;
+  [[nodiscard]] Duration release_delay() const;
 
   HeldCachesSettings settings_;
   Scheduler& scheduler_;
--- a/src/core/ports.hpp
+++ b/src/core/ports.hpp
@@ -34,6 +34,7 @@
   virtual ~Timer() = default;
 };
 
+// The clock and the event loop.
 class Scheduler {
  public:
   virtual ~Scheduler() = default;
@@ -146,6 +147,7 @@
   std::string address;
 };
 
+// Receives the events of one attempt.
 class AttemptEvents {
  public:
   virtual ~AttemptEvents() = default;
@@ -176,8 +178,10 @@
   bool fresh = false;
 };
 
+// The answer to a request for a reservation; `unknown`: none that could be understood.
 enum class ClaimAnswer { held, not_held, unknown };
 
+// Sends requests, calls and probes to instances.
 class Instances {
  public:
   virtual ~Instances() = default;
@@ -200,6 +204,7 @@
   virtual void forget(const Target& target) = 0;
 };
 
+// The source of the list of instances. Updates arrive at Conductor::news.
 class Discovery {
  public:
   virtual ~Discovery() = default;
@@ -215,6 +220,7 @@
   std::string address;
 };
 
+// An update of the discovery list.
 struct FleetNews {
   eiderarch::ListScope scope = eiderarch::ListScope::changes;
   std::vector<Listed> entries;
--- a/src/core/release_delivery.hpp
+++ b/src/core/release_delivery.hpp
@@ -38,23 +38,23 @@
   struct Order {
     RequestId id = 0;
     PayloadPtr payload;
-    EngineId engine = 0;
+    EngineId instance = 0;
     Time due{0};
     // Until then something may still become held there, by a prefill whose connection was closed by this side
     // and that may not have received the close. The release is repeated until then.
     Time repeat_until{0};
   };
   // Whether an attempt of that request is out that has not answered anything.
-  using AttemptUnproven = std::function<bool(RequestId)>;
+  using AttemptUnanswered = std::function<bool(RequestId)>;
   using LogFunction = std::function<void(const char* topic, const std::string& text)>;
 
   ReleaseDelivery(Settings settings, Fleet& fleet, Scheduler& scheduler, Instances& instances,
-                  AttemptUnproven attempt_unproven, LogFunction log);
+                  AttemptUnanswered attempt_unanswered, LogFunction log);
 
   void start(const Order& order);
   // Drops the pending releases there, because they would release what a new attempt is about to create.
   // Returns the earliest time at which one of them was due; nullopt if there was none.
-  std::optional<Time> withdraw(const PayloadPtr& payload, EngineId engine);
+  std::optional<Time> withdraw(const PayloadPtr& payload, EngineId instance);
   // The request's clock was restarted by an attempt that has arrived: its releases are not due before then.
   void postpone(RequestId id, Time due);
   // Whether some release has not arrived yet, at any instance. A release that is only to be repeated has
@@ -68,42 +68,42 @@
     Order order;
     Time instance_started{0};  // start of the process that may hold something
     Time begun{0};
-    int calls_out = 0;
-    bool failed = false;         // a call has failed
-    bool taken = false;          // by another instance, which releases what every holder holds
-    bool asked_afresh = false;   // at its holder, on a new connection
-    std::set<EngineId> also_at;  // other instances that were called
-    std::unique_ptr<Timer> again, elsewhere;
+    int open_calls = 0;
+    bool failed = false;                     // a call has failed
+    bool released_by_other = false;          // by another instance, which releases what every holder holds
+    bool retried_on_new_connection = false;  // at its holder, on a new connection
+    std::set<EngineId> others_called;        // other instances that were called
+    std::unique_ptr<Timer> retry_timer, others_timer;
   };
   struct Repeat {
     Order order;
     bool silent = false;  // a call to the instance on an idle connection was not answered in time
-    std::unique_ptr<Timer> at;
+    std::unique_ptr<Timer> timer;
   };
   using Number = std::uint64_t;
 
   // Whether the instance can no longer hold anything for this release, or the release has been tried long
   // enough.
-  [[nodiscard]] bool pointless(const Release& release, const Fleet::Member* holder) const;
-  [[nodiscard]] int calls_out(EngineId engine) const;
-  void abandon(std::map<Number, Release>::iterator at);
+  [[nodiscard]] bool is_obsolete(const Release& release, const Fleet::Member* holder) const;
+  [[nodiscard]] int open_calls(EngineId instance) const;
+  void abandon(std::map<Number, Release>::iterator it);
   void try_holder(Number number, bool new_connection);
   void holder_answered(Number number, bool arrived);
   void repeat_later(const Order& order, bool silent);
   void repeat(Number number);
   void try_holder_later(Release& release, Number number);
-  void look_elsewhere(Number number);
-  void look_elsewhere_later(Release& release, Number number);
+  void try_others(Number number);
+  void try_others_later(Release& release, Number number);
   void try_other(Release& release, Number number, const Fleet::Member& other);
   // The next instances to call in the holder's place: the one in this conductor's zone and the one in the
   // whole fleet that answered most recently. Empty if all have been called.
-  [[nodiscard]] std::vector<const Fleet::Member*> next_others(const Release& release) const;
+  [[nodiscard]] std::vector<const Fleet::Member*> next_other_instances(const Release& release) const;
 
   Settings settings_;
   Fleet& fleet_;
   Scheduler& scheduler_;
   Instances& instances_;
-  AttemptUnproven attempt_unproven_;
+  AttemptUnanswered attempt_unanswered_;
   LogFunction log_;
   std::map<Number, Release> releases_;
   std::map<Number, Repeat> repeats_;
--- a/src/core/request.hpp
+++ b/src/core/request.hpp
@@ -45,28 +45,28 @@
   Ask ask;
   std::unique_ptr<ClientReply> reply;
   Inbox<RequestEvent> inbox;
-  std::unique_ptr<Timer> deadline, overdue, limit, too_late, stall;
+  std::unique_ptr<Timer> deadline_timer, decision_timer, attempt_timer, send_timer, stall_timer;
   // Up to this time the last attempt's instance may not have received the close of its connection.
   Time closing_until{0};
-  std::unique_ptr<Timer> postponed;  // delivers the event that waits until `closing_until`
-  bool aborted = false;              // see Conductor::abandon; ignores further commands of the module
+  std::unique_ptr<Timer> postponed_event;  // delivers the event that waits until `closing_until`
+  bool aborted = false;                    // see Conductor::abandon; ignores further commands of the module
   std::unique_ptr<Attempt> attempt;
-  EngineId engine = 0;  // of the current attempt
+  EngineId instance = 0;  // of the current attempt
   int attempts = 0;
   int attempts_before = 0;    // under its earlier module ids
   bool streaming = false;     // the current attempt has begun its part of the answer
   Tokens tokens_written = 0;  // answer tokens counted to the module as part of the prompt
   bool resumed = false;       // the answer was begun by an instance that was lost
   ExecutionRecord execution;
-  bool repeat_barred = false;       // the check before the current attempt's first byte forbade it
+  bool repeat_forbidden = false;    // the check before the current attempt's first byte forbade it
   bool execution_recorded = false;  // `ClientReply::sending` was called for the current attempt
   // The current attempt replaced a release that had not arrived at its instance.
-  bool owes_release = false;
-  eiderarch::Outcome last = eiderarch::Outcome::skipped;
+  bool inherited_release = false;
+  eiderarch::Outcome last_outcome = eiderarch::Outcome::skipped;
   Time arrived{0};
   std::optional<Time> first;       // when its stream began
   std::optional<Time> last_event;  // of the current attempt; empty while the client holds it back
-  bool paced = false;              // the current attempt counts towards its instance's event rate
+  bool rate_tracked = false;       // the current attempt counts towards its instance's event rate
   std::vector<AttemptRecord> trail;
   RequestRecord::Result result = RequestRecord::Result::failed;
   Ending ending;
--- a/src/core/request_lifecycle.cpp
+++ b/src/core/request_lifecycle.cpp
@@ -11,12 +11,12 @@
 
 namespace {
 
-constexpr Duration kOverdue = 12ms;  // past the deadline; the client itself allows 16 ms
+constexpr Duration kDecisionGrace = 12ms;  // past the deadline; the client itself allows 16 ms
 // How long the close of a connection may take to reach an instance: several times the longest path between
 // zones. A further attempt on a pooled connection to a nearby instance, or an answer to a client, is faster.
-constexpr Duration kCloseTravels = 10ms;
+constexpr Duration kCloseDelivery = 10ms;
 // A connection attempt that is given up after at least this long counts against its instance.
-constexpr Duration kSlowDial = 100ms;
+constexpr Duration kSlowConnect = 100ms;
 // Sending stops this long before the end of the drain's grace, since the bytes take time to arrive.
 constexpr Duration kDrainMargin = 100ms;
 
@@ -32,10 +32,10 @@
     const RequestEvent event = co_await r.inbox.next();
     if (postpone(r, event)) continue;
     if (end_between_attempts(r, event)) break;
-    const auto* order = std::get_if<eiderarch::Send>(&event);
-    if (order == nullptr) continue;  // concerns an attempt that has ended
+    const auto* command = std::get_if<eiderarch::Send>(&event);
+    if (command == nullptr) continue;  // concerns an attempt that has ended
 
-    AttemptInHand attempt = begin_attempt(r, *order);
+    CurrentAttempt attempt = begin_attempt(r, *command);
     while (!attempt.end) {
       RequestEvent step = co_await r.inbox.next();
       attempt_step(r, attempt, step);
@@ -46,18 +46,18 @@
     account_for_held_caches(r, attempt);
     over = conclude_attempt(r, attempt);
   }
-  r.deadline.reset();
-  r.overdue.reset();
-  r.postponed.reset();
+  r.deadline_timer.reset();
+  r.decision_timer.reset();
+  r.postponed_event.reset();
   r.reply.reset();
   if (!r.streaming) held_.release_all(r.id);
-  tell_end(r);
+  report_end(r);
 }
 
 void Conductor::watch_deadline(Request& r) {
   const Time deadline = r.ask.facts.deadline;
-  r.deadline = scheduler_.at(deadline, [&r] { r.inbox.push(DeadlinePassed{}); });
-  r.overdue = scheduler_.at(deadline + kOverdue, [&r] { r.inbox.push(DecisionOverdue{}); });
+  r.deadline_timer = scheduler_.at(deadline, [&r] { r.inbox.push(DeadlinePassed{}); });
+  r.decision_timer = scheduler_.at(deadline + kDecisionGrace, [&r] { r.inbox.push(DecisionOverdue{}); });
 }
 
 bool Conductor::end_between_attempts(Request& r, const RequestEvent& event) {
@@ -69,7 +69,7 @@
     if (overdue) post(eiderarch::RequestGone{r.module_id});
     break_off(r);
   } else if (refusal != nullptr && !r.execution.permits_refusal(request_class(r))) {
-    fail_barred(r);
+    fail_forbidden_repeat(r);
   } else if (refusal != nullptr) {
     refuse(r, Ending::Cause::refused, refusal->stay_away);
   } else if (fails) {
@@ -92,48 +92,48 @@
   return true;
 }
 
-Conductor::AttemptInHand Conductor::begin_attempt(Request& r, const eiderarch::Send& order) {
+Conductor::CurrentAttempt Conductor::begin_attempt(Request& r, const eiderarch::Send& command) {
   ++r.attempts;
-  AttemptInHand attempt;
-  attempt.order = order;
+  CurrentAttempt attempt;
+  attempt.command = command;
   attempt.number = r.attempt_number();
   attempt.sent = scheduler_.now();
-  attempt.place = place_of(order.engine, attempt.sent);
-  attempt.prefill = at_prefill_instance(order);
+  attempt.place = place_of(command.engine, attempt.sent);
+  attempt.prefill = at_prefill_instance(command);
   if (!open(r, attempt)) attempt.end = AttemptEnd{Outcome::skipped, 0, {}, false};
   return attempt;
 }
 
-bool Conductor::open(Request& r, const AttemptInHand& attempt) {
-  const eiderarch::Send& order = attempt.order;
-  const Fleet::Member* member = fleet_.find(order.engine);
+bool Conductor::open(Request& r, const CurrentAttempt& attempt) {
+  const eiderarch::Send& command = attempt.command;
+  const Fleet::Member* member = fleet_.find(command.engine);
   const Time now = scheduler_.now();
   if (member == nullptr || r.streaming || now >= r.ask.facts.deadline) return false;
   if (r.attempts > settings_.module.limits.max_attempts) return false;
   ++figures_.attempts;
   Duration patience = r.ask.facts.deadline - now;
-  if (order.timeout > 0us && order.timeout < patience) {
-    patience = order.timeout;
-    r.limit = scheduler_.at(now + patience, [&r] { r.inbox.push(AttemptTimedOut{}); });
+  if (command.timeout > 0us && command.timeout < patience) {
+    patience = command.timeout;
+    r.attempt_timer = scheduler_.at(now + patience, [&r] { r.inbox.push(AttemptTimedOut{}); });
   }
-  if (attempt.prefill) held_.prefill_begins(r.id, r.ask.payload, order.engine);
-  r.engine = order.engine;
+  if (attempt.prefill) held_.add_prefill(r.id, r.ask.payload, command.engine);
+  r.instance = command.engine;
   r.execution_recorded = false;
-  if (order.by > 0us) r.too_late = scheduler_.at(order.by, [&r] { r.inbox.push(SendTooLate{}); });
+  if (command.by > 0us) r.send_timer = scheduler_.at(command.by, [&r] { r.inbox.push(SendTooLate{}); });
   const Time not_after = now + patience;
-  const auto may_write = [this, &r, prefill = attempt.prefill, engine = order.engine, by = order.by,
+  const auto may_write = [this, &r, prefill = attempt.prefill, instance = command.engine, by = command.by,
                           not_after] {
-    if (!may_send(engine) || (by > 0us && scheduler_.now() >= by)) return false;
+    if (!may_send(instance) || (by > 0us && scheduler_.now() >= by)) return false;
     // Connecting takes time, and a delayed loop handles the established connection before it handles a
     // client's close or an expired deadline.
     if (scheduler_.now() >= not_after || r.reply->client_closed()) return false;
     // Whoever records possible executions needs the record before the first byte.
-    if (!prefill && !may_execute_again(r, engine)) return false;
+    if (!prefill && !may_execute_again(r, instance)) return false;
     if (!prefill && !std::exchange(r.execution_recorded, true)) r.reply->sending();
     // A pending release there would release what this attempt is about to create or fetch. From here on the
     // attempt accounts for what that release covered. The release continues while the attempt connects, since
     // a request that has not arrived does not stop the release clock.
-    r.owes_release |= held_.withdraw_releases(r.id, r.ask.payload, engine);
+    r.inherited_release |= held_.withdraw_releases(r.id, r.ask.payload, instance);
     return true;
   };
   // A prefill has no effect, and new connections are expensive for busy prefill instances.
@@ -143,7 +143,7 @@
   return true;
 }
 
-void Conductor::attempt_step(Request& r, AttemptInHand& attempt, RequestEvent& event) {
+void Conductor::attempt_step(Request& r, CurrentAttempt& attempt, RequestEvent& event) {
   if (std::holds_alternative<RequestWritten>(event)) {
     attempt.written = scheduler_.now();
     ++figures_.written;
@@ -157,7 +157,7 @@
     if (!r.streaming) begin_stream(r, attempt);
     attempt.end = stream_step(r, event);
   } else if (const auto* result = std::get_if<AttemptResult>(&event)) {
-    attempt.end = judge(*result, attempt.prefill);
+    attempt.end = evaluate(*result, attempt.prefill);
   } else if (std::holds_alternative<ClientGone>(event)) {
     attempt.end = AttemptEnd{Outcome::cancelled, 0, {}, true};
     post(eiderarch::RequestGone{r.module_id});
@@ -180,99 +180,99 @@
              r.attempt->progress() <= Progress::unwritten) {
     // The cache that it was to fetch has been released, and it has not arrived. If connecting has just begun,
     // that says nothing about the instance: it then counts as one that found no cache.
-    const bool slow = scheduler_.now() - attempt.sent >= kSlowDial;
+    const bool slow = scheduler_.now() - attempt.sent >= kSlowConnect;
     attempt.end =
         slow ? AttemptEnd{Outcome::not_connected, 0, {}, false} : AttemptEnd{Outcome::busy, 1, {}, false};
   }
 }
 
-void Conductor::close_attempt(Request& r, AttemptInHand& attempt) {
-  r.limit.reset();
-  r.too_late.reset();
-  r.stall.reset();
+void Conductor::close_attempt(Request& r, CurrentAttempt& attempt) {
+  r.attempt_timer.reset();
+  r.send_timer.reset();
+  r.stall_timer.reset();
   log_failure(r, attempt);
   // The attempt is closed before anything else is sent, and its instance gets time to receive the close:
   // there are never two attempts at once.
-  if (r.attempt && r.attempt->progress() >= Progress::written && !attempt.end->ended_there) {
-    r.closing_until = scheduler_.now() + kCloseTravels;
+  if (r.attempt && r.attempt->progress() >= Progress::written && !attempt.end->ended_by_instance) {
+    r.closing_until = scheduler_.now() + kCloseDelivery;
   }
   r.attempt.reset();
-  if (std::exchange(r.paced, false)) silence_.ended(r.engine);
+  if (std::exchange(r.rate_tracked, false)) silence_.ended(r.instance);
 }
 
-void Conductor::record_attempt(Request& r, const AttemptInHand& attempt) {
-  const Fleet::Member* member = fleet_.find(attempt.order.engine);
+void Conductor::record_attempt(Request& r, const CurrentAttempt& attempt) {
+  const Fleet::Member* member = fleet_.find(attempt.command.engine);
   const Time now = scheduler_.now();
   const AttemptEnd& end = *attempt.end;
-  if (end.answered) fleet_.note_heard(attempt.order.engine, now);
+  if (end.answered) fleet_.record_answer(attempt.command.engine, now);
   r.trail.push_back({member != nullptr ? member->target.id : "?", attempt.prefill, attempt.sent - r.arrived,
                      attempt.written ? *attempt.written - r.arrived : Duration{-1}, now - r.arrived,
                      end.outcome, end.answered});
 }
 
-void Conductor::account_for_execution(Request& r, const AttemptInHand& attempt) {
+void Conductor::account_for_execution(Request& r, const CurrentAttempt& attempt) {
   const Outcome outcome = attempt.end->outcome;
-  r.last = outcome;
+  r.last_outcome = outcome;
   if (!attempt.prefill) r.execution.note(attempt.place, outcome);
   if (eiderarch::proves_not_executed(outcome) && std::exchange(r.execution_recorded, false)) {
     r.reply->never_ran();
   }
 }
 
-void Conductor::account_for_held_caches(Request& r, const AttemptInHand& attempt) {
-  const EngineId engine = attempt.order.engine;
+void Conductor::account_for_held_caches(Request& r, const CurrentAttempt& attempt) {
+  const EngineId instance = attempt.command.engine;
   const AttemptEnd& end = *attempt.end;
   const bool never_ran = eiderarch::proves_not_executed(end.outcome);
-  const bool owes_release = std::exchange(r.owes_release, false);
+  const bool inherited_release = std::exchange(r.inherited_release, false);
   if (attempt.prefill) {
     if (end.outcome == Outcome::state_held) return held_.restart_clock(r.id);
-    held_.holds_nothing(r.id, engine);
-    const bool may_go_on = !never_ran && !end.answered && !end.ended_there;
+    held_.remove_holder(r.id, instance);
+    const bool may_go_on = !never_ran && !end.answered && !end.ended_by_instance;
     if (may_go_on) {
-      held_.release_cut_off_prefill(r.id, r.ask.payload, engine, r.ask.facts.deadline);
-    } else if (!never_ran || owes_release) {
-      held_.release_at(r.id, r.ask.payload, engine);
+      held_.release_cut_off_prefill(r.id, r.ask.payload, instance, r.ask.facts.deadline);
+    } else if (!never_ran || inherited_release) {
+      held_.release_at(r.id, r.ask.payload, instance);
     }
     return;
   }
-  if (never_ran && owes_release) {
-    held_.release_at(r.id, r.ask.payload, engine);
+  if (never_ran && inherited_release) {
+    held_.release_at(r.id, r.ask.payload, instance);
     return;
   }
   // Its connection may have stopped delivering data: then the instance has not received the close, and keeps
   // the reservation and the cache that it fetched. Only its own answer proves that it holds nothing.
-  const bool unheard =
+  const bool may_still_hold =
       end.outcome == Outcome::timed_out || end.outcome == Outcome::cancelled || end.outcome == Outcome::reset;
-  if (unheard && !r.streaming && end.answer == nullptr && held_.may_hold_any(r.id)) {
-    held_.may_hold(r.id, r.ask.payload, engine);
+  if (may_still_hold && !r.streaming && end.answer == nullptr && held_.may_hold_any(r.id)) {
+    held_.add_holder(r.id, r.ask.payload, instance);
   }
   // A write into a local socket proves nothing: only an answer shows that the attempt had arrived.
   end.answered ? held_.restart_clock(r.id) : held_.continue_clock(r.id);
 }
 
-bool Conductor::conclude_attempt(Request& r, AttemptInHand& attempt) {
+bool Conductor::conclude_attempt(Request& r, CurrentAttempt& attempt) {
   AttemptEnd& end = *attempt.end;
   if (r.streaming) {
     if (!conclude_stream(r, attempt)) return false;
   } else {
     conclude_unanswered(r, end);
   }
-  const bool barred = std::exchange(r.repeat_barred, false);
-  if (barred) fail_barred(r);
-  const bool over = barred || r.streaming || end.client_gone || end.answer != nullptr;
-  tell_module(r, attempt, over || attempt.aborted);
+  const bool forbidden = std::exchange(r.repeat_forbidden, false);
+  if (forbidden) fail_forbidden_repeat(r);
+  const bool over = forbidden || r.streaming || end.client_gone || end.answer != nullptr;
+  report_attempt_end(r, attempt, over || attempt.aborted);
   if (attempt.aborted && !over) r.inbox.push(Aborted{});
   return over;
 }
 
-bool Conductor::conclude_stream(Request& r, AttemptInHand& attempt) {
+bool Conductor::conclude_stream(Request& r, CurrentAttempt& attempt) {
   if (end_stream(r, *attempt.end)) return true;
   r.ending.told = attempt.end->told;
   const bool may = repeat_safe(r) && r.attempts < settings_.module.limits.max_attempts;
   const Onward onward = may ? r.reply->go_on() : Onward{};
   switch (onward.what) {
     case Onward::What::go_on:
-      tell_module(r, attempt, true);
+      report_attempt_end(r, attempt, true);
       resume(r, onward);
       return false;
     case Onward::What::finished:
@@ -304,16 +304,16 @@
   }
 }
 
-void Conductor::tell_module(const Request& r, AttemptInHand& attempt, bool final) {
+void Conductor::report_attempt_end(const Request& r, CurrentAttempt& attempt, bool final) {
   AttemptEnd& end = *attempt.end;
-  post(eiderarch::AttemptEnded{r.module_id, attempt.number, attempt.order.engine, end.outcome,
+  post(eiderarch::AttemptEnded{r.module_id, attempt.number, attempt.command.engine, end.outcome,
                                scheduler_.now() - attempt.sent, final, end.detail, std::move(end.report)});
 }
 
-Conductor::AttemptEnd Conductor::judge(const AttemptResult& result, bool prefill) {
+Conductor::AttemptEnd Conductor::evaluate(const AttemptResult& result, bool prefill) {
   AttemptEnd end;
   end.outcome = outcome_of(result, prefill);
-  end.ended_there = !result.closed_here;
+  end.ended_by_instance = !result.closed_here;
   end.answered = result.verdict != Verdict::broken || result.progress >= Progress::head;
   if (result.verdict == Verdict::broken) {
     end.told = result.told;
@@ -326,7 +326,7 @@
   return end;
 }
 
-void Conductor::log_failure(const Request& r, const AttemptInHand& attempt) const {
+void Conductor::log_failure(const Request& r, const CurrentAttempt& attempt) const {
   const AttemptEnd& end = *attempt.end;
   const char* what = nullptr;
   if (end.answer != nullptr) what = "rejected";
@@ -347,7 +347,7 @@
       break;
   }
   if (what == nullptr) return;
-  const Fleet::Member* member = fleet_.find(attempt.order.engine);
+  const Fleet::Member* member = fleet_.find(attempt.command.engine);
   const Duration after = scheduler_.now() - attempt.sent;
   log_("attempt", "request " + r.ask.name + " at " + (member != nullptr ? member->target.id : "?") + ": " +
                       what + " after " + std::to_string(after.count() / 1000) + " ms" +
@@ -356,44 +356,46 @@
 
 // Called by every kind of send except a release, just before its first byte: nothing is first sent later than
 // the drain's grace after the drain was announced, connecting included.
-bool Conductor::may_send(EngineId engine) const {
-  const Fleet::Member* member = fleet_.find(engine);
+bool Conductor::may_send(EngineId instance) const {
+  const Fleet::Member* member = fleet_.find(instance);
   if (member == nullptr || member->out) return false;
   const Duration grace =
       std::max<Duration>(settings_.module.rules.drain_grace - kDrainMargin - settings_.news_late, 0us);
   return !member->draining_since || scheduler_.now() - *member->draining_since < grace;
 }
 
-void Conductor::reserve(Request& r, EngineId writer) {
-  const Fleet::Member* member = fleet_.find(writer);
-  if (member == nullptr || !may_send(writer)) return;
-  held_.reservation_asked(r.id, r.ask.payload, writer);
+void Conductor::reserve(Request& r, EngineId decode_instance) {
+  const Fleet::Member* member = fleet_.find(decode_instance);
+  if (member == nullptr || !may_send(decode_instance)) return;
+  held_.reservation_requested(r.id, r.ask.payload, decode_instance);
   const int number = r.attempt_number();
   instances_.claim(
-      member->target, r.ask.payload, [this, writer] { return may_send(writer); },
-      [this, id = r.id, module_id = r.module_id, number, writer, payload = r.ask.payload](
-          ClaimAnswer answer) { reservation_answered(id, payload, writer, number, module_id, answer); });
+      member->target, r.ask.payload, [this, decode_instance] { return may_send(decode_instance); },
+      [this, id = r.id, module_id = r.module_id, number, decode_instance,
+       payload = r.ask.payload](ClaimAnswer answer) {
+        reservation_answered(id, payload, decode_instance, number, module_id, answer);
+      });
 }
 
-void Conductor::reservation_answered(RequestId id, const PayloadPtr& payload, EngineId writer, int attempt,
-                                     RequestId module_id, ClaimAnswer answer) {
-  const HeldCaches::Reservation worth = held_.reservation_answered(id, payload, writer);
+void Conductor::reservation_answered(RequestId id, const PayloadPtr& payload, EngineId decode_instance,
+                                     int attempt, RequestId module_id, ClaimAnswer answer) {
+  const HeldCaches::Reservation worth = held_.reservation_answered(id, payload, decode_instance);
   const auto request = requests_.find(id);
-  if (answer != ClaimAnswer::unknown) fleet_.note_heard(writer, scheduler_.now());
+  if (answer != ClaimAnswer::unknown) fleet_.record_answer(decode_instance, scheduler_.now());
   if (worth == HeldCaches::Reservation::not_on_record) {
     // Released while the call was out: the reservation may have been made after the release. Or the stream
     // has begun at another instance, which released everything held by then, but not a later reservation.
-    const bool elsewhere = request == requests_.end() || request->second->engine != writer;
-    if (answer != ClaimAnswer::not_held && elsewhere) held_.release_at(id, payload, writer);
+    const bool elsewhere = request == requests_.end() || request->second->instance != decode_instance;
+    if (answer != ClaimAnswer::not_held && elsewhere) held_.release_at(id, payload, decode_instance);
     return;
   }
   if (worth == HeldCaches::Reservation::released) return;
   if (answer == ClaimAnswer::unknown || request == requests_.end()) return;
-  const Request& now = *request->second;
-  if (now.module_id != module_id || now.attempt_number() != attempt || !now.attempt) return;
+  const Request& current = *request->second;
+  if (current.module_id != module_id || current.attempt_number() != attempt || !current.attempt) return;
   // A reservation is answered while its prefill is in progress, so the prefill has arrived.
   held_.stop_clock(id);
-  post(eiderarch::PlaceAnswer{module_id, attempt, writer, answer == ClaimAnswer::held});
+  post(eiderarch::PlaceAnswer{module_id, attempt, decode_instance, answer == ClaimAnswer::held});
 }
 
 HeldCaches::AttemptState Conductor::attempt_state(RequestId id) const {
@@ -401,7 +403,7 @@
   if (request == requests_.end() || request->second->attempt == nullptr)
     return HeldCaches::AttemptState::none;
   const bool heard = request->second->attempt->progress() >= Progress::head;
-  return heard ? HeldCaches::AttemptState::heard : HeldCaches::AttemptState::unproven;
+  return heard ? HeldCaches::AttemptState::answered : HeldCaches::AttemptState::unanswered;
 }
 
 void Conductor::held_overdue(RequestId id, Duration held_for) {
@@ -409,11 +411,11 @@
   const auto it = requests_.find(id);
   if (it == requests_.end()) return;
   Request& r = *it->second;
-  const Fleet::Member* member = fleet_.find(r.engine);
+  const Fleet::Member* member = fleet_.find(r.instance);
   log_("held", "request " + r.ask.name + ": released what was held for " +
                    std::to_string(held_for.count() / 1000) + " ms; " +
-                   (r.attempt == nullptr ? "no attempt is out"
-                                         : "nothing heard of its attempt at " +
+                   (r.attempt == nullptr ? "no attempt is active"
+                                         : "no answer yet to its attempt at " +
                                                (member != nullptr ? member->target.id : "?")));
   post(eiderarch::HeldReleased{r.module_id});
   r.inbox.push(HeldOverdue{});
@@ -431,26 +433,27 @@
 
 // Whether an attempt there has no effect. The list and the module must agree, because an entry's kind may
 // change or be omitted while a request waits.
-bool Conductor::at_prefill_instance(const eiderarch::Send& order) const {
-  const Fleet::Member* member = fleet_.find(order.engine);
-  return order.prefill && member != nullptr && member->entry.kind < settings_.module.kinds.size() &&
+bool Conductor::at_prefill_instance(const eiderarch::Send& command) const {
+  const Fleet::Member* member = fleet_.find(command.engine);
+  return command.prefill && member != nullptr && member->entry.kind < settings_.module.kinds.size() &&
          settings_.module.kinds[member->entry.kind].role == eiderarch::Role::reader;
 }
 
-ExecutionRecord::Place Conductor::place_of(EngineId engine, Time sent) const {
-  const Fleet::Member* member = fleet_.find(engine);
+ExecutionRecord::Place Conductor::place_of(EngineId instance, Time sent) const {
+  const Fleet::Member* member = fleet_.find(instance);
   if (member == nullptr) return {0, 0, sent};
   return {member->entry.zone, member->entry.cell, sent};
 }
 
-bool Conductor::may_execute_again(Request& r, EngineId engine) {
-  if (r.execution.permits(request_class(r), place_of(engine, scheduler_.now()))) return true;
-  r.repeat_barred = true;
+bool Conductor::may_execute_again(Request& r, EngineId instance) {
+  if (r.execution.permits(request_class(r), place_of(instance, scheduler_.now()))) return true;
+  r.repeat_forbidden = true;
   return false;
 }
 
-void Conductor::fail_barred(Request& r) {
-  log_("guard", "request " + r.ask.name + " may have run: its class forbids what was to follow");
+void Conductor::fail_forbidden_repeat(Request& r) {
+  log_("guard",
+       "request " + r.ask.name + " may have been executed: its class forbids a further attempt or a refusal");
   post(eiderarch::RequestGone{r.module_id});
   if (r.resumed) return break_off(r);
   fail(r, Ending::Cause::failed);
@@ -467,34 +470,35 @@
   const bool refuses = abandons || std::holds_alternative<eiderarch::Refuse>(event);
   const bool overtakes = std::holds_alternative<eiderarch::Send>(event) || (refuses && !repeat_safe(r));
   if (!overtakes || scheduler_.now() >= r.closing_until) return false;
-  r.postponed = scheduler_.at(r.closing_until, [this, &r, event] {
+  r.postponed_event = scheduler_.at(r.closing_until, [this, &r, event] {
     reap_soon();
     r.inbox.push(event);  // last, because it may destroy this timer
   });
   return true;
 }
 
-const Ending& Conductor::ends(Request& r, RequestRecord::Result result, Ending::Cause cause,
-                              Duration stay_away) {
+const Ending& Conductor::set_ending(Request& r, RequestRecord::Result result, Ending::Cause cause,
+                                    Duration stay_away) {
   r.result = result;
-  r.ending = {cause, r.execution.may_have_executed(), repeat_safe(r), stay_away, r.ending.told, r.last};
+  r.ending = {cause,         r.execution.may_have_executed(), repeat_safe(r), stay_away, r.ending.told,
+              r.last_outcome};
   return r.ending;
 }
 
 void Conductor::refuse(Request& r, Ending::Cause cause, Duration stay_away) {
   ++figures_.refused;
-  r.reply->refuse(ends(r, RequestRecord::Result::refused, cause, stay_away));
+  r.reply->refuse(set_ending(r, RequestRecord::Result::refused, cause, stay_away));
 }
 
 void Conductor::fail(Request& r, Ending::Cause cause) {
   ++figures_.failed;
-  r.reply->fail(ends(r, RequestRecord::Result::failed, cause));
+  r.reply->fail(set_ending(r, RequestRecord::Result::failed, cause));
 }
 
-void Conductor::tell_end(const Request& r) {
+void Conductor::report_end(const Request& r) {
   figures_.count_end(r.ask.facts.request_class, r.result);
   if (!observer_) return;
-  const Fleet::Member* member = r.attempts > 0 ? fleet_.find(r.engine) : nullptr;
+  const Fleet::Member* member = r.attempts > 0 ? fleet_.find(r.instance) : nullptr;
   observer_({r.ask, r.result, r.ending, member != nullptr ? member->target.id : "", r.attempts,
              r.first ? *r.first - r.arrived : Duration{-1}, scheduler_.now() - r.arrived, r.trail});
 }
--- a/src/core/shutdown.cpp
+++ b/src/core/shutdown.cpp
@@ -7,7 +7,7 @@
 using eiderarch::Outcome;
 
 void Conductor::abandon() {
-  given_up_ = true;
+  abandoned_ = true;
   for (auto& [id, r] : requests_) {
     if (!r->streaming && !r->resumed && !r->lifecycle.done()) r->inbox.push(Aborted{});
   }
@@ -29,7 +29,7 @@
     if (!r.streaming || r.resumed || r.lifecycle.done() || !r.attempt) continue;
     std::optional<Passed> client = r.reply->passed();
     std::optional<Passed> instance = client ? r.attempt->passed() : std::nullopt;
-    const Fleet::Member* member = fleet_.find(r.engine);
+    const Fleet::Member* member = fleet_.find(r.instance);
     if (!instance || member == nullptr) continue;
     const Time now = scheduler_.now();
     if (!take({r.ask, member->target.id, r.attempts, now - r.arrived, *r.first - r.arrived,
@@ -56,40 +56,40 @@
   r.streaming = true;
   r.execution.assume_executed();
   r.attempts = stream.attempts;
-  for (const auto& [engine, member] : fleet_.members()) {
-    if (member.target.id == stream.box) r.engine = engine;
+  for (const auto& [instance, member] : fleet_.members()) {
+    if (member.target.id == stream.box) r.instance = instance;
   }
   r.attempt = make(r);
   const RequestId id = r.id;
   requests_.emplace(id, std::move(owned));
   if (!r.attempt) r.inbox.push(AttemptResult{});
-  r.lifecycle = follow(r);
+  r.lifecycle = follow_stream(r);
   return id;
 }
 
 // Follows a stream that another process of this conductor began, from here to its end.
-Task Conductor::follow(Request& r) {
-  expect_more(r, settings_.stall_limit);
+Task Conductor::follow_stream(Request& r) {
+  start_stall_timer(r, settings_.stall_limit);
   std::optional<AttemptEnd> end;
   while (!end) {
     RequestEvent event = co_await r.inbox.next();
     if (const auto* result = std::get_if<AttemptResult>(&event)) {
-      end = judge(*result, false);
+      end = evaluate(*result, false);
     } else if (std::holds_alternative<ClientGone>(event)) {
       end = AttemptEnd{Outcome::cancelled, 0, {}, true};
     } else {
       end = stream_step(r, event);
     }
   }
-  r.stall.reset();
+  r.stall_timer.reset();
   r.attempt.reset();
-  r.last = end->outcome;
+  r.last_outcome = end->outcome;
   if (!end_stream(r, *end)) {
     r.ending.told = end->told;
     break_off(r);
   }
   r.reply.reset();
-  tell_end(r);
+  report_end(r);
   reap_soon();  // a running coroutine can't be destroyed from inside
 }
 
--- a/src/core/stream.cpp
+++ b/src/core/stream.cpp
@@ -11,48 +11,48 @@
 
 namespace {
 
-constexpr Duration kLostStall = 3s;  // stall limit of a stream whose instance has left the list
+constexpr Duration kLostInstanceStallLimit = 3s;  // stall limit of a stream whose instance has left the list
 
 }  // namespace
 
-void Conductor::begin_stream(Request& r, const AttemptInHand& attempt) {
+void Conductor::begin_stream(Request& r, const CurrentAttempt& attempt) {
   r.streaming = true;
   if (!r.first) r.first = scheduler_.now();
-  r.deadline.reset();
-  r.overdue.reset();
-  r.limit.reset();
+  r.deadline_timer.reset();
+  r.decision_timer.reset();
+  r.attempt_timer.reset();
   r.last_event.reset();
   if (!r.resumed) r.reply->begin();
-  r.paced = r.reply->may_go_on();
-  if (r.paced) silence_.began(attempt.order.engine);
+  r.rate_tracked = r.reply->may_go_on();
+  if (r.rate_tracked) silence_.began(attempt.command.engine);
   held_.forget(r.id);
-  post(eiderarch::StreamStarted{r.module_id, attempt.number, attempt.order.engine,
+  post(eiderarch::StreamStarted{r.module_id, attempt.number, attempt.command.engine,
                                 scheduler_.now() - attempt.sent});
 }
 
 std::optional<Conductor::AttemptEnd> Conductor::stream_step(Request& r, RequestEvent& event) {
   if (const auto* data = std::get_if<AnswerData>(&event)) {
-    note_event(r);
+    record_stream_event(r);
     r.reply->data(data->bytes);
     if (r.reply->garbled()) return AttemptEnd{Outcome::cancelled, 0, {}, false};
     // Limits memory: a fast instance must not fill it for a client that reads slowly.
     if (r.reply->behind([&r] { r.inbox.push(ClientCaughtUp{}); })) {
       r.attempt->pause(true);
-      r.stall.reset();  // the stream now waits for the client, not for the instance
+      r.stall_timer.reset();  // the stream now waits for the client, not for the instance
       r.last_event.reset();
     }
   } else if (std::holds_alternative<ClientCaughtUp>(event)) {
     r.attempt->pause(false);
-    expect_more(r, settings_.stall_limit);
+    start_stall_timer(r, settings_.stall_limit);
   } else if (std::holds_alternative<InstanceLost>(event)) {
     // A vanished machine sends no reset, so its stream would stay open forever.
-    expect_more(r, kLostStall);
+    start_stall_timer(r, kLostInstanceStallLimit);
   } else if (std::holds_alternative<StreamStalled>(event)) {
-    if (suspects(r)) {
+    if (watches_silence(r)) {
       const Duration silent = scheduler_.now() - *r.last_event;
-      const Duration more = silence_.judge(r.engine, scheduler_.now(), silent);
+      const Duration more = silence_.judge(r.instance, scheduler_.now(), silent);
       if (more > 0us) {
-        expect_more(r, more);
+        start_stall_timer(r, more);
         return std::nullopt;
       }
       ++figures_.suspected;
@@ -84,7 +84,7 @@
 
 void Conductor::break_off(Request& r) {
   ++figures_.broken;
-  r.reply->abort(ends(r, RequestRecord::Result::broken, Ending::Cause::broke_off));
+  r.reply->abort(set_ending(r, RequestRecord::Result::broken, Ending::Cause::broke_off));
 }
 
 void Conductor::resume(Request& r, const Onward& onward) {
@@ -98,7 +98,7 @@
   r.module_id = facts.id = ++last_id_;
   aliases_[r.module_id] = r.id;
   facts.resumed = true;
-  facts.lost_at = r.engine;
+  facts.lost_at = r.instance;
   facts.prompt_tokens += onward.written - r.tokens_written;
   r.tokens_written = onward.written;
   if (onward.left > 0) facts.max_output = onward.left;
@@ -108,19 +108,19 @@
 }
 
 // Starts the timer for the next event of the stream.
-void Conductor::expect_more(Request& r, Duration patience) {
-  r.stall = scheduler_.at(scheduler_.now() + patience, [&r] { r.inbox.push(StreamStalled{}); });
+void Conductor::start_stall_timer(Request& r, Duration patience) {
+  r.stall_timer = scheduler_.at(scheduler_.now() + patience, [&r] { r.inbox.push(StreamStalled{}); });
 }
 
-bool Conductor::suspects(const Request& r) const {
+bool Conductor::watches_silence(const Request& r) const {
   return r.last_event && repeat_safe(r) && r.reply->may_go_on();
 }
 
-void Conductor::note_event(Request& r) {
+void Conductor::record_stream_event(Request& r) {
   const Time now = scheduler_.now();
-  if (r.paced && r.last_event) silence_.event(r.engine, now, now - *r.last_event);
+  if (r.rate_tracked && r.last_event) silence_.event(r.instance, now, now - *r.last_event);
   r.last_event = now;
-  expect_more(r, suspects(r) ? silence_.limit(r.engine) : settings_.stall_limit);
+  start_stall_timer(r, watches_silence(r) ? silence_.limit(r.instance) : settings_.stall_limit);
 }
 
 }  // namespace bankmux::core
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -108,7 +108,8 @@
       const bool platform = appliance.empty();
       const config::Config read = platform ? config::read_config(environment) : config::Config{};
       const std::string listen = platform ? read.listen : config::read_appliance(appliance).listen;
-      for (const std::string& key : read.unknown) std::printf("passed over: 'settings.%s'\n", key.c_str());
+      for (const std::string& key : read.unknown)
+        std::printf("ignored: unknown setting 'settings.%s'\n", key.c_str());
       std::printf("ok: listens at %s\n", listen.c_str());
     }
     if (serve->parsed()) {
