--- a/tests/core_rules_test.cpp
+++ b/tests/core_rules_test.cpp
@@ -1,5 +1,5 @@
-// The core and the module together on sites that nobody has seen: drawn settings, drawn boxes, drawn clients.
-// The rules are counted where they land, at the boxes and at the clients.
+// The core and the decision module together, with random settings, instances and clients. The rules are
+// checked where they take effect: at the instances and at the clients.
 #include <catch2/catch.hpp>
 #include <map>
 #include <set>
@@ -16,72 +16,84 @@
 
 namespace {
 
-constexpr int kBoxes = 7;              // three readers, three writers, one of both kinds where there are any
-constexpr Duration kConnect = 250ms;   // after which a connection that is not up counts as failed
-constexpr Duration kCallTimeout = 1s;  // after which a call that was not answered counts as failed
-constexpr Duration kSlack = 50ms;      // of every limit in time, as on sockets
-constexpr Duration kArrival = 300ms;   // more for a release, as on sockets
+// Three instances for prefill, three for decode, and one for both roles if the settings have that kind.
+constexpr int kInstances = 7;
+constexpr Duration kConnectTimeout =
+    250ms;                             // after which a connection that is not established counts as failed
+constexpr Duration kCallTimeout = 1s;  // after which an unanswered call counts as failed
+constexpr Duration kSlack = 50ms;      // allowed beyond each time limit, as in the tests with sockets
+// Additionally allowed for a release to arrive, as in the tests with sockets.
+constexpr Duration kReleaseDelivery = 300ms;
 
 struct Faults : std::vector<std::string> {
   void add(const std::string& request, const std::string& what) { push_back(request + ": " + what); }
 };
 
-// What the checker knows of one request, by its name.
-struct Story {
+// What the checker knows of one request, by the request's id.
+struct TrackedRequest {
   bool safe = false;
   int answers = 0;
-  int out = 0;      // attempts open
-  int there = 0;    // of those, attempts that have arrived whole
-  int sent = 0;     // attempts started
-  int may_run = 0;  // at writers, written whole and not proven unrun
+  int active = 0;    // current attempts
+  int arrived = 0;   // those of them whose request has arrived completely
+  int attempts = 0;  // attempts started so far
+  // Attempts at decode instances that were written completely and not proven not to have run.
+  int may_run = 0;
   bool streaming = false;
-  std::map<EngineId, Time> held;  // states that lie at readers, since the last attempt ended
+  std::map<EngineId, Time> held;  // caches held at prefill instances, and when the last attempt ended
 };
 
-class Site : public Instances, public Discovery {
+class SimulatedSite : public Instances, public Discovery {
  public:
-  Site(const eiderarch::Settings& settings, std::uint32_t seed) : s(settings), draw(seed) {
+  SimulatedSite(const eiderarch::Settings& settings, std::uint32_t seed) : s(settings), draw(seed) {
     ConductorSettings all;
     all.module = settings;
     all.max_requests = 60;
     conductor = std::make_unique<Conductor>(all, time, *this, *this, [](const char*, const std::string&) {});
     FleetNews news{eiderarch::ListScope::disk, {}};
-    for (int i = 0; i < kBoxes; ++i) news.entries.push_back(row(i, eiderarch::EngineState::live));
+    for (int i = 0; i < kInstances; ++i) news.entries.push_back(list_entry(i, eiderarch::EngineState::live));
     conductor->news(news);
   }
-  ~Site() override { conductor.reset(); }
+  ~SimulatedSite() override { conductor.reset(); }
 
-  struct Out : Attempt {
-    Site& site;
-    EngineId at;
+  struct SimulatedAttempt : Attempt {
+    SimulatedSite& site;
+    EngineId instance;
     std::string name;
     std::function<bool()> may_write;
     AttemptEvents& events;
-    Progress so_far = Progress::not_connected;
+    Progress current_progress = Progress::not_connected;
     bool arrived = false;
-    bool ended = false;  // by the box
+    bool ended = false;  // by the instance
     std::unique_ptr<Timer> next;
-    Out(Site& owner, EngineId engine, std::string id, std::function<bool()> may, AttemptEvents& told)
-        : site(owner), at(engine), name(std::move(id)), may_write(std::move(may)), events(told) {}
-    ~Out() override { site.closed(*this); }
-    [[nodiscard]] Progress progress() const override { return so_far; }
+    SimulatedAttempt(SimulatedSite& owner, EngineId instance, std::string id, std::function<bool()> may,
+                     AttemptEvents& attempt_events)
+        : site(owner),
+          instance(instance),
+          name(std::move(id)),
+          may_write(std::move(may)),
+          events(attempt_events) {}
+    ~SimulatedAttempt() override { site.closed(*this); }
+    [[nodiscard]] Progress progress() const override { return current_progress; }
   };
 
   std::unique_ptr<Attempt> start(const Target& target, const PayloadPtr& payload, Time, ConnectionTerms,
                                  std::function<bool()> may_write, AttemptEvents& events) override {
-    Story& story = stories[payload->id];
-    if (++story.out > 1) faults.add(payload->id, "two attempts out at once");
-    if (++story.sent > s.limits.max_attempts) faults.add(payload->id, "more attempts than allowed");
-    if (story.answers > 0) faults.add(payload->id, "sent after its final answer");
-    story.held.erase(target.engine);
-    auto out = std::make_unique<Out>(*this, target.engine, payload->id, std::move(may_write), events);
-    // Now and then a connection comes up only after the list has changed its mind about the box.
+    TrackedRequest& request = requests[payload->id];
+    if (++request.active > 1) faults.add(payload->id, "two attempts at once");
+    if (++request.attempts > s.limits.max_attempts) faults.add(payload->id, "more attempts than allowed");
+    if (request.answers > 0) faults.add(payload->id, "sent after its final answer");
+    request.held.erase(target.engine);
+    auto attempt =
+        std::make_unique<SimulatedAttempt>(*this, target.engine, payload->id, std::move(may_write), events);
+    // Some connections are established only after the list has changed the state of the instance.
     const Duration wait = draw.chance(0.04) ? draw.time(30, 249) : draw.time(0, 30);
-    const bool vanished = time.now() < vanished_[target.engine];  // it takes no connection, and says nothing
-    out->next = time.at(time.now() + (vanished ? kConnect : wait), [this, vanished, o = out.get()] {
-      vanished ? end(*o, Verdict::broken, Progress::not_connected) : connected(*o);
-    });
-    return out;
+    const bool vanished =
+        time.now() < vanished_[target.engine];  // it accepts no connection and sends nothing
+    attempt->next =
+        time.at(time.now() + (vanished ? kConnectTimeout : wait), [this, vanished, a = attempt.get()] {
+          vanished ? end(*a, Verdict::broken, Progress::not_connected) : connected(*a);
+        });
+    return attempt;
   }
   void claim(const Target&, const PayloadPtr&, std::function<bool()> may_write,
              std::function<void(ClaimAnswer)> done) override {
@@ -90,10 +102,10 @@
   }
   void release(const Target& target, const PayloadPtr& payload, ConnectionTerms,
                std::function<bool()> may_write, std::function<void(bool)> done) override {
-    later(draw.time(0, 60), [this, engine = target.engine, id = payload->id, may_write = std::move(may_write),
-                             done = std::move(done)] {
+    later(draw.time(0, 60), [this, instance = target.engine, id = payload->id,
+                             may_write = std::move(may_write), done = std::move(done)] {
       const bool arrives = draw.chance(0.8) && may_write();
-      if (arrives) stories[id].held.erase(engine);
+      if (arrives) requests[id].held.erase(instance);
       done(arrives);
     });
   }
@@ -113,18 +125,19 @@
     const Time end = time.now() + length;
     while (time.now() < end) {
       time.pass(draw.time(1, 60));
-      if (draw.chance(0.6)) ask();
+      if (draw.chance(0.6)) send_request();
       if (draw.chance(0.03)) list_change();
-      if (draw.chance(0.02)) leave();
-      if (draw.chance(0.03)) vanished_[EngineId(draw.pick(1, kBoxes))] = time.now() + draw.time(500, 4000);
+      if (draw.chance(0.02)) client_leaves();
+      if (draw.chance(0.03))
+        vanished_[EngineId(draw.pick(1, kInstances))] = time.now() + draw.time(500, 4000);
       check_held();
     }
-    time.pass(40s);  // past every deadline and stall
+    time.pass(40s);  // past every deadline and stall limit
     check_held();
-    for (const auto& [name, story] : stories) {
-      if (story.answers != 1 && !left.contains(name))
-        faults.add(name, std::to_string(story.answers) + " answers");
-      if (story.out != 0) faults.add(name, "an attempt is still out");
+    for (const auto& [name, request] : requests) {
+      if (request.answers != 1 && !clients_gone.contains(name))
+        faults.add(name, std::to_string(request.answers) + " answers");
+      if (request.active != 0) faults.add(name, "an attempt is still active");
     }
   }
 
@@ -132,29 +145,29 @@
   Draw draw;
   FakeTime time;
   std::unique_ptr<Conductor> conductor;
-  std::map<std::string, Story> stories;
-  std::set<std::string> left;  // whose clients have gone
+  std::map<std::string, TrackedRequest> requests;
+  std::set<std::string> clients_gone;  // requests whose clients have left
   Faults faults;
   int served = 0;
 
  private:
   class Reply : public ClientReply {
    public:
-    Reply(Site& site, std::string name) : site_(site), name_(std::move(name)) {}
+    Reply(SimulatedSite& site, std::string name) : site_(site), name_(std::move(name)) {}
     void refuse(const Ending& ending) override {
-      Story& story = answer();
-      if (story.may_run > 0 && !story.safe && !keyed_)
-        site_.faults.add(name_, "refused though it may have run");
+      TrackedRequest& request = answer();
+      if (request.may_run > 0 && !request.safe && !keyed_)
+        site_.faults.add(name_, "refused although it may have run");
       const Duration most = site_.s.limits.retry_advice ? site_.s.limits.max_retry_advice : Duration{0};
       if (ending.cause == Ending::Cause::refused && ending.stay_away > most) {
-        site_.faults.add(name_, "advised to stay away for longer than clients may be told");
+        site_.faults.add(name_, "advised a longer retry delay than the limit allows");
       }
     }
     void fail(const Ending&) override { answer(); }
     void relay(const Answer&) override { answer(); }
     void begin() override {
-      if (site_.stories[name_].streaming) site_.faults.add(name_, "began twice");
-      site_.stories[name_].streaming = true;
+      if (site_.requests[name_].streaming) site_.faults.add(name_, "began its answer twice");
+      site_.requests[name_].streaming = true;
     }
     void data(std::string_view) override {}
     void end() override {
@@ -165,17 +178,17 @@
     bool keyed_ = false;
 
    private:
-    Story& answer() {
-      Story& story = site_.stories[name_];
-      ++story.answers;
-      return story;
+    TrackedRequest& answer() {
+      TrackedRequest& request = site_.requests[name_];
+      ++request.answers;
+      return request;
     }
-    Site& site_;
+    SimulatedSite& site_;
     std::string name_;
   };
 
-  [[nodiscard]] bool reader(EngineId engine) const { return engine <= 3; }
-  [[nodiscard]] Listed row(int i, eiderarch::EngineState state) const {
+  [[nodiscard]] bool is_prefill(EngineId instance) const { return instance <= 3; }
+  [[nodiscard]] Listed list_entry(int i, eiderarch::EngineState state) const {
     Listed listed;
     listed.id = listed.address = "box" + std::to_string(i);
     listed.entry.engine = EngineId(i + 1);
@@ -192,152 +205,157 @@
     });
   }
 
-  void ask() {
-    Ask ask;
-    ask.facts.request_class = std::uint32_t(draw.pick(0, int(s.classes.size()) - 1));
-    ask.facts.tenant = std::uint32_t(draw.pick(0, int(s.tenants.size())));
-    ask.facts.session = eiderarch::Key(draw.pick(1, 30));
-    ask.facts.prefix = eiderarch::Key(draw.pick(0, 4));
-    ask.facts.prompt_tokens = draw.pick(1, 9000);
-    ask.facts.prefix_tokens = ask.facts.prefix == 0 ? 0 : std::min<Tokens>(ask.facts.prompt_tokens, 1500);
-    ask.facts.max_output = 300;
-    ask.facts.resumed = draw.chance(0.1);
-    const eiderarch::RequestClass& cls = s.classes[ask.facts.request_class];
-    ask.facts.deadline =
+  void send_request() {
+    Ask incoming;
+    incoming.facts.request_class = std::uint32_t(draw.pick(0, int(s.classes.size()) - 1));
+    incoming.facts.tenant = std::uint32_t(draw.pick(0, int(s.tenants.size())));
+    incoming.facts.session = eiderarch::Key(draw.pick(1, 30));
+    incoming.facts.prefix = eiderarch::Key(draw.pick(0, 4));
+    incoming.facts.prompt_tokens = draw.pick(1, 9000);
+    incoming.facts.prefix_tokens =
+        incoming.facts.prefix == 0 ? 0 : std::min<Tokens>(incoming.facts.prompt_tokens, 1500);
+    incoming.facts.max_output = 300;
+    incoming.facts.resumed = draw.chance(0.1);
+    const eiderarch::RequestClass& cls = s.classes[incoming.facts.request_class];
+    incoming.facts.deadline =
         time.now() + Duration(std::int64_t(double(cls.deadline.count()) * draw.between(0.3, 1.0)));
     auto payload = std::make_shared<Payload>();
-    payload->id = "r" + std::to_string(++asked_);
-    stories[payload->id].safe = cls.effect == eiderarch::Effect::safe;
+    payload->id = "r" + std::to_string(++last_request_);
+    requests[payload->id].safe = cls.effect == eiderarch::Effect::safe;
     auto reply = std::make_unique<Reply>(*this, payload->id);
     reply->keyed_ = cls.effect == eiderarch::Effect::keyed;
     const std::string name = payload->id;
-    ask.payload = std::move(payload);
-    const RequestId id = conductor->take(std::move(ask), std::move(reply));
+    incoming.payload = std::move(payload);
+    const RequestId id = conductor->take(std::move(incoming), std::move(reply));
     if (id != 0) open_[name] = id;
   }
 
-  void leave() {
+  void client_leaves() {
     if (open_.empty()) return;
     auto it = open_.begin();
     std::advance(it, draw.pick(0, int(open_.size()) - 1));
-    if (stories[it->first].answers == 0) left.insert(it->first);
+    if (requests[it->first].answers == 0) clients_gone.insert(it->first);
     conductor->client_gone(it->second);
     open_.erase(it);
   }
 
   void list_change() {
-    const int i = draw.pick(0, kBoxes - 1);
+    const int i = draw.pick(0, kInstances - 1);
     const auto state = eiderarch::EngineState(draw.pick(0, 2));
-    Listed changed = row(i, state);
+    Listed changed = list_entry(i, state);
     const bool restarted = state == eiderarch::EngineState::live && draw.chance(0.4);
     if (restarted) changed.entry.started = time.now();
     if (restarted || state == eiderarch::EngineState::gone) {
-      // What a process held went with it.
-      for (auto& [name, story] : stories) story.held.erase(changed.entry.engine);
+      // What a process held is freed with it.
+      for (auto& [name, request] : requests) request.held.erase(changed.entry.engine);
     }
     if (state == eiderarch::EngineState::live) {
-      bad_since_.erase(changed.entry.engine);
+      unavailable_since_.erase(changed.entry.engine);
     } else {
-      bad_since_.try_emplace(changed.entry.engine, time.now());
+      unavailable_since_.try_emplace(changed.entry.engine, time.now());
     }
     state == eiderarch::EngineState::gone ? void(gone_.insert(changed.entry.engine))
                                           : void(gone_.erase(changed.entry.engine));
     conductor->news({eiderarch::ListScope::changes, {changed}});
   }
 
-  // ---- A box, as it may behave ----
+  // ---- Behaviour of an instance ----
 
-  void connected(Out& out) {
-    if (draw.chance(0.05)) return end(out, Verdict::broken, Progress::not_connected);
-    if (!out.may_write()) return end(out, Verdict::broken, Progress::not_connected);
-    const auto bad = bad_since_.find(out.at);
-    if (bad != bad_since_.end() && time.now() - bad->second > s.rules.drain_grace + kSlack) {
-      faults.add(out.name, "sent to a box that drains or is gone");
+  void connected(SimulatedAttempt& attempt) {
+    if (draw.chance(0.05)) return end(attempt, Verdict::broken, Progress::not_connected);
+    if (!attempt.may_write()) return end(attempt, Verdict::broken, Progress::not_connected);
+    const auto unavailable = unavailable_since_.find(attempt.instance);
+    if (unavailable != unavailable_since_.end() &&
+        time.now() - unavailable->second > s.rules.drain_grace + kSlack) {
+      faults.add(attempt.name, "sent to an instance that is draining or gone, after the grace");
     }
-    out.so_far = Progress::unwritten;
-    out.next = time.at(time.now() + draw.time(0, 10), [this, &out] { written(out); });
+    attempt.current_progress = Progress::unwritten;
+    attempt.next = time.at(time.now() + draw.time(0, 10), [this, &attempt] { written(attempt); });
   }
-  void written(Out& out) {
-    Story& story = stories[out.name];
-    if (!reader(out.at)) {
-      if (story.may_run > 0 && !story.safe && !keyed(out))
-        faults.add(out.name, "sent again though it may have run");
-      ++story.may_run;
+  void written(SimulatedAttempt& attempt) {
+    TrackedRequest& request = requests[attempt.name];
+    if (!is_prefill(attempt.instance)) {
+      if (request.may_run > 0 && !request.safe && !keyed(attempt))
+        faults.add(attempt.name, "sent again although it may have run");
+      ++request.may_run;
     }
-    out.so_far = Progress::written;
-    // Into a connection that has fallen silent: its bytes are out here, and arrive nowhere.
-    if (draw.chance(0.06)) return out.events.on_written();
-    ++story.there;
-    out.arrived = true;
-    out.next = time.at(time.now() + draw.time(1, 900), [this, &out] { answered(out); });
-    out.events.on_written();
+    attempt.current_progress = Progress::written;
+    // Written into a connection that does not deliver data: the bytes have left this side and never arrive.
+    if (draw.chance(0.06)) return attempt.events.on_written();
+    ++request.arrived;
+    attempt.arrived = true;
+    attempt.next = time.at(time.now() + draw.time(1, 900), [this, &attempt] { answered(attempt); });
+    attempt.events.on_written();
   }
-  void answered(Out& out) {
-    if (draw.chance(0.06)) return;  // silent for ever
-    Story& story = stories[out.name];
+  void answered(SimulatedAttempt& attempt) {
+    if (draw.chance(0.06)) return;  // never answers
+    TrackedRequest& request = requests[attempt.name];
     if (draw.chance(0.1)) {
-      if (!reader(out.at)) --story.may_run;
-      return end(out, draw.chance(0.5) ? Verdict::turned_away : Verdict::no_state, Progress::ended);
+      if (!is_prefill(attempt.instance)) --request.may_run;
+      return end(attempt, draw.chance(0.5) ? Verdict::turned_away : Verdict::no_state, Progress::ended);
     }
-    if (draw.chance(0.08)) return end(out, Verdict::error, Progress::ended);
-    if (draw.chance(0.04)) return end(out, Verdict::broken, Progress::written);
-    if (reader(out.at)) {
-      if (!gone_.contains(out.at)) story.held[out.at] = time.now();
-      return end(out, Verdict::state_held, Progress::ended);
+    if (draw.chance(0.08)) return end(attempt, Verdict::error, Progress::ended);
+    if (draw.chance(0.04)) return end(attempt, Verdict::broken, Progress::written);
+    if (is_prefill(attempt.instance)) {
+      if (!gone_.contains(attempt.instance)) request.held[attempt.instance] = time.now();
+      return end(attempt, Verdict::state_held, Progress::ended);
     }
-    story.held.clear();  // a stream that has begun lets go of the rest
-    stream(out);
+    request.held.clear();  // when a stream has begun the instances release the rest by themselves
+    stream(attempt);
   }
-  void stream(Out& out) {
-    out.so_far = Progress::streaming;
-    if (draw.chance(0.05)) return end(out, Verdict::broken, Progress::streaming);
-    if (draw.chance(0.3) && stories[out.name].streaming) return end(out, Verdict::served, Progress::ended);
-    out.next = time.at(time.now() + draw.time(5, 400), [this, &out] { stream(out); });
-    out.events.on_data("x");
+  void stream(SimulatedAttempt& attempt) {
+    attempt.current_progress = Progress::streaming;
+    if (draw.chance(0.05)) return end(attempt, Verdict::broken, Progress::streaming);
+    if (draw.chance(0.3) && requests[attempt.name].streaming)
+      return end(attempt, Verdict::served, Progress::ended);
+    attempt.next = time.at(time.now() + draw.time(5, 400), [this, &attempt] { stream(attempt); });
+    attempt.events.on_data("x");
   }
-  void end(Out& out, Verdict verdict, Progress progress) {
-    out.so_far = progress;
-    out.ended = true;
+  void end(SimulatedAttempt& attempt, Verdict verdict, Progress progress) {
+    attempt.current_progress = progress;
+    attempt.ended = true;
     AttemptResult result;
     result.verdict = verdict;
     result.progress = progress;
     result.found = draw.pick(0, 4000);
     if (s.report_mode == eiderarch::ReportMode::answers) result.report = eiderarch::test::drawn_report(draw);
-    out.events.on_ended(std::move(result));
+    attempt.events.on_ended(std::move(result));
   }
-  void closed(Out& out) {
-    Story& story = stories[out.name];
-    --story.out;
-    // What never arrived has taken nothing, and its time runs on from before.
-    if (!out.arrived) return;
-    --story.there;
-    for (auto& [engine, since] : story.held) since = time.now();
-    // The close may not be heard either: then a prefill goes on to its end.
-    if (!reader(out.at) || out.ended || out.so_far != Progress::written || !draw.chance(0.2)) return;
-    later(draw.time(1, 900), [this, engine = out.at, name = out.name] {
-      Story& late = stories[name];
-      if (!gone_.contains(engine) && !late.streaming) late.held[engine] = time.now();
+  void closed(SimulatedAttempt& attempt) {
+    TrackedRequest& request = requests[attempt.name];
+    --request.active;
+    // An attempt that never arrived has fetched nothing, and the time since the earlier attempt counts.
+    if (!attempt.arrived) return;
+    --request.arrived;
+    for (auto& [instance, since] : request.held) since = time.now();
+    // The close may not be delivered either: then a prefill goes on to its end.
+    if (!is_prefill(attempt.instance) || attempt.ended || attempt.current_progress != Progress::written ||
+        !draw.chance(0.2))
+      return;
+    later(draw.time(1, 900), [this, instance = attempt.instance, name = attempt.name] {
+      TrackedRequest& late = requests[name];
+      if (!gone_.contains(instance) && !late.streaming) late.held[instance] = time.now();
     });
   }
-  [[nodiscard]] bool keyed(const Out&) const {
+  [[nodiscard]] bool keyed(const SimulatedAttempt&) const {
     return std::ranges::any_of(s.classes, [](const auto& c) { return c.effect == eiderarch::Effect::keyed; });
   }
 
   void check_held() {
-    for (auto& [name, story] : stories) {
-      if (story.there > 0) continue;
-      for (const auto& [engine, since] : story.held) {
-        if (time.now() - since <= s.rules.release_within + kArrival + kSlack) continue;
-        faults.add(name, "left a state pinned");
-        story.held.erase(engine);
+    for (auto& [name, request] : requests) {
+      if (request.arrived > 0) continue;
+      for (const auto& [instance, since] : request.held) {
+        if (time.now() - since <= s.rules.release_within + kReleaseDelivery + kSlack) continue;
+        faults.add(name, "left a cache pinned beyond the release time");
+        request.held.erase(instance);
         break;
       }
     }
   }
 
-  int asked_ = 0, calls_ = 0;
+  int last_request_ = 0, calls_ = 0;
   std::map<std::string, RequestId> open_;
-  std::map<EngineId, Time> bad_since_;
+  std::map<EngineId, Time> unavailable_since_;
   std::set<EngineId> gone_;
   std::map<EngineId, Time> vanished_;
   std::map<int, std::unique_ptr<Timer>> timers_;
@@ -345,14 +363,14 @@
 
 }  // namespace
 
-TEST_CASE("Core and module keep the rules on drawn sites") {
+TEST_CASE("Core: the core and the decision module keep the rules with random settings and instances") {
   int served = 0;
   for (std::uint32_t seed = 1; seed <= 60; ++seed) {
-    Site site(eiderarch::test::drawn_settings(seed), seed);
+    SimulatedSite site(eiderarch::test::drawn_settings(seed), seed);
     site.run(12s);
     served += site.served;
-    INFO("site " << seed);
+    INFO("seed " << seed);
     for (const std::string& fault : site.faults) FAIL_CHECK(fault);
   }
-  CHECK(served > 1000);  // the sites did serve: nothing is proven by boxes that nobody asked
+  CHECK(served > 1000);  // enough was served for the checks to mean something
 }
--- a/tests/core_world.hpp
+++ b/tests/core_world.hpp
@@ -1,5 +1,5 @@
-// The core without a wire: time, instances and clients are stand-ins, so that late loops and crossing calls
-// can be told exactly.
+// A test fixture for the core without a wire protocol. Time, instances and clients are simulated, so that
+// delayed loops and crossing calls can be produced exactly.
 #pragma once
 
 #include <algorithm>
@@ -13,38 +13,38 @@
 using namespace bankmux::core;
 using namespace std::chrono_literals;
 
-using Log = std::vector<std::string>;
+using EventLog = std::vector<std::string>;
 
 class FakeInstances : public Instances, public Discovery {
  public:
-  struct Out : Attempt {
-    FakeInstances& all;
+  struct FakeAttempt : Attempt {
+    FakeInstances& owner;
     std::string name;
     AttemptEvents& events;
     std::function<bool()> may_write;
     Time not_after;
-    Progress at = Progress::not_connected;
-    Out(FakeInstances& a, std::string n, AttemptEvents& e, std::function<bool()> m, Time until)
-        : all(a), name(std::move(n)), events(e), may_write(std::move(m)), not_after(until) {
-      all.log.push_back("open " + name);
-      all.out = this;
+    Progress current_progress = Progress::not_connected;
+    FakeAttempt(FakeInstances& a, std::string n, AttemptEvents& e, std::function<bool()> m, Time until)
+        : owner(a), name(std::move(n)), events(e), may_write(std::move(m)), not_after(until) {
+      owner.log.push_back("open " + name);
+      owner.attempt = this;
     }
-    ~Out() override {
-      all.log.push_back("close " + name);
-      all.out = nullptr;
+    ~FakeAttempt() override {
+      owner.log.push_back("close " + name);
+      owner.attempt = nullptr;
     }
-    [[nodiscard]] Progress progress() const override { return at; }
+    [[nodiscard]] Progress progress() const override { return current_progress; }
   };
   std::unique_ptr<Attempt> start(const Target& target, const PayloadPtr&, Time not_after, ConnectionTerms,
                                  std::function<bool()> may_write, AttemptEvents& events) override {
-    CHECK(out == nullptr);  // never two attempts out
-    return std::make_unique<Out>(*this, target.id, events, std::move(may_write), not_after);
+    CHECK(attempt == nullptr);  // never two attempts at once
+    return std::make_unique<FakeAttempt>(*this, target.id, events, std::move(may_write), not_after);
   }
   void claim(const Target& target, const PayloadPtr&, std::function<bool()> may_write,
              std::function<void(ClaimAnswer)> done) override {
     log.push_back("claim " + target.id);
-    claims.push_back(std::move(done));
-    may_claim = std::move(may_write);
+    reservations.push_back(std::move(done));
+    may_reserve = std::move(may_write);
   }
   void release(const Target& target, const PayloadPtr&, ConnectionTerms terms,
                std::function<bool()> may_write, std::function<void(bool)> done) override {
@@ -58,35 +58,36 @@
   void subscribe() override {}
   void fetch() override {}
 
-  // The attempt that is out has written its request.
-  void written() {
-    static_cast<void>(out->may_write());  // asked at the first byte, as over sockets
-    out->at = Progress::written;
-    out->events.on_written();
+  // The current attempt has written its request.
+  void finish_write() {
+    static_cast<void>(attempt->may_write());  // called before the first byte, as with sockets
+    attempt->current_progress = Progress::written;
+    attempt->events.on_written();
   }
-  void ended(Verdict verdict, Progress progress = Progress::ended, bool closed_here = false) {
+  void end_attempt(Verdict verdict, Progress progress = Progress::ended, bool closed_here = false) {
     AttemptResult result;
     result.closed_here = closed_here;
     result.verdict = verdict;
     result.progress = progress;
-    out->events.on_ended(std::move(result));
+    attempt->events.on_ended(std::move(result));
   }
 
-  Log log;
-  Out* out = nullptr;
-  std::vector<std::function<void(ClaimAnswer)>> claims;
-  std::function<bool()> may_claim;
-  std::vector<std::function<bool()>> may_release;  // by call, as are `releases`
+  EventLog log;
+  FakeAttempt* attempt = nullptr;
+  std::vector<std::function<void(ClaimAnswer)>> reservations;
+  std::function<bool()> may_reserve;
+  std::vector<std::function<bool()>> may_release;  // in the order of the calls, as are `releases`
   std::vector<std::function<void(bool)>> releases;
-  std::vector<bool> fresh;  // whether that call asked for a new connection
+  std::vector<bool> fresh;  // whether the call required a new connection
 };
 
 class FakeReply : public ClientReply {
  public:
-  FakeReply(Log& log, int goes_on, const bool& closed) : log_(log), goes_on_(goes_on), closed_(closed) {}
+  FakeReply(EventLog& log, int continuations, const bool& closed)
+      : log_(log), continuations_(continuations), closed_(closed) {}
   [[nodiscard]] bool client_closed() const override { return closed_; }
   Onward go_on() override {
-    if (goes_on_-- <= 0) return {};
+    if (continuations_-- <= 0) return {};
     log_.emplace_back("go on");
     return {Onward::What::go_on, nullptr, 10, 50, 1s};
   }
@@ -99,21 +100,22 @@
   void abort(const Ending&) override { log_.emplace_back("abort"); }
 
  private:
-  Log& log_;
-  int goes_on_;  // so many times
+  EventLog& log_;
+  int continuations_;  // so many times
   const bool& closed_;
 };
 
-constexpr Tokens kLongRead = 20000;  // whose read takes most of the aim, so that a place is claimed ahead
+// A prompt whose prefill takes most of the target time, so that a reservation is requested ahead.
+constexpr Tokens kLongPrompt = 20000;
 
-struct World {
+struct CoreFixture {
   FakeTime time;
   FakeInstances instances;
-  Log answers;
-  bool client_closed = false;  // all clients, as the system knows it
+  EventLog answers;
+  bool client_closed = false;  // of all clients, as reported by the operating system
   std::unique_ptr<Conductor> conductor;
 
-  explicit World(std::size_t most_requests = 10, Duration news_late = 0s) {
+  explicit CoreFixture(std::size_t max_requests = 10, Duration news_late = 0s) {
     ConductorSettings s;
     s.module.classes.resize(3);
     s.module.classes[0].effect = eiderarch::Effect::safe;
@@ -134,13 +136,13 @@
     s.module.claim_ahead = true;
     s.module.writers_read = true;
     s.module.resume = true;
-    s.max_requests = most_requests;
+    s.max_requests = max_requests;
     s.news_late = news_late;
     conductor =
         std::make_unique<Conductor>(s, time, instances, instances, [](const char*, const std::string&) {});
   }
-  void list(const std::string& id, std::uint32_t kind,
-            eiderarch::EngineState state = eiderarch::EngineState::live) {
+  void list_instance(const std::string& id, std::uint32_t kind,
+                     eiderarch::EngineState state = eiderarch::EngineState::live) {
     Listed row;
     row.id = row.address = id;
     row.entry.engine = std::hash<std::string>{}(id);
@@ -149,24 +151,24 @@
     conductor->news({eiderarch::ListScope::changes, {row}});
     time.settle();
   }
-  // `goes_on`: so many times its reply can go on with an answer whose instance was lost.
-  RequestId ask(std::uint32_t cls, Tokens prompt, Duration patience = 5s, int goes_on = 0) {
-    Ask ask;
-    ask.facts.request_class = cls;
-    ask.facts.session = 7;
-    ask.facts.prompt_tokens = prompt;
-    ask.facts.deadline = time.now() + patience;
-    const RequestId id =
-        conductor->take(std::move(ask), std::make_unique<FakeReply>(answers, goes_on, client_closed));
+  // `continuations`: how many times the reply can continue an answer whose instance was lost.
+  RequestId send_request(std::uint32_t cls, Tokens prompt, Duration patience = 5s, int continuations = 0) {
+    Ask incoming;
+    incoming.facts.request_class = cls;
+    incoming.facts.session = 7;
+    incoming.facts.prompt_tokens = prompt;
+    incoming.facts.deadline = time.now() + patience;
+    const RequestId id = conductor->take(std::move(incoming),
+                                         std::make_unique<FakeReply>(answers, continuations, client_closed));
     time.settle();
     return id;
   }
-  // The attempt that is out streams a word and is lost.
-  void lose(const std::string& word) {
-    instances.written();
-    instances.out->events.on_data(word);
+  // The current attempt streams `word` and is lost.
+  void lose_stream(const std::string& word) {
+    instances.finish_write();
+    instances.attempt->events.on_data(word);
     time.settle();
-    instances.ended(Verdict::broken, Progress::streaming);
+    instances.end_attempt(Verdict::broken, Progress::streaming);
     time.settle();
   }
 };
--- a/tests/fake_time.hpp
+++ b/tests/fake_time.hpp
@@ -1,4 +1,4 @@
-// The core's clock and loop, moved by hand.
+// A simulated clock and event loop for tests of the core.
 #pragma once
 
 #include <algorithm>
@@ -18,20 +18,20 @@
 
 class FakeTime : public core::Scheduler {
  public:
-  struct Entry : Timer {
+  struct FakeTimer : Timer {
     FakeTime& time;
-    std::multimap<Time, std::pair<Entry*, std::function<void()>>>::iterator place;
-    bool waiting = true;
-    explicit Entry(FakeTime& t) : time(t) {}
-    ~Entry() override {
-      if (waiting) time.timers_.erase(place);
+    std::multimap<Time, std::pair<FakeTimer*, std::function<void()>>>::iterator position;
+    bool pending = true;
+    explicit FakeTimer(FakeTime& t) : time(t) {}
+    ~FakeTimer() override {
+      if (pending) time.timers_.erase(position);
     }
   };
   [[nodiscard]] Time now() const override { return now_; }
   std::unique_ptr<Timer> at(Time when, std::function<void()> run) override {
-    auto entry = std::make_unique<Entry>(*this);
-    entry->place = timers_.emplace(when, std::make_pair(entry.get(), std::move(run)));
-    return entry;
+    auto timer = std::make_unique<FakeTimer>(*this);
+    timer->position = timers_.emplace(when, std::make_pair(timer.get(), std::move(run)));
+    return timer;
   }
   void soon(std::function<void()> run) override { soon_.push_back(std::move(run)); }
   void settle() {
@@ -39,17 +39,17 @@
       for (const auto& run : std::exchange(soon_, {})) run();
     }
   }
-  // The loop is held up: time goes on, and no timer strikes yet.
+  // Delays the loop: time advances, and no timer fires yet.
   void hold_up(Duration time) { now_ += time; }
-  // Goes on in small steps, or, as a loop that is late would, at once.
+  // Advances time from timer to timer, or at once to the end, as a delayed loop would.
   void pass(Duration time, bool late = false) {
     const Time end = now_ + time;
     settle();
     while (!timers_.empty() && timers_.begin()->first <= end) {
       const auto first = timers_.begin();
       now_ = late ? end : std::max(now_, first->first);
-      auto [entry, run] = std::move(first->second);
-      entry->waiting = false;
+      auto [timer, run] = std::move(first->second);
+      timer->pending = false;
       timers_.erase(first);
       run();
       settle();
@@ -59,7 +59,7 @@
 
  private:
   Time now_{1'000'000'000};
-  std::multimap<Time, std::pair<Entry*, std::function<void()>>> timers_;
+  std::multimap<Time, std::pair<FakeTimer*, std::function<void()>>> timers_;
   std::vector<std::function<void()>> soon_;
 };
 
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -1,5 +1,6 @@
-// Many fronts at once around a plain model of readers: first come first served, what is called off goes on,
-// and what a reader has kept is found again there. Not the bench: only what a jam of readers needs.
+// Many fronts around a simple model of prefill instances, which process first come first served, complete
+// cancelled jobs, and find cached prefixes again. It models only what an overload of prefill instances needs;
+// the bench models more.
 #include <gtest/gtest.h>
 
 #include <deque>
@@ -13,12 +14,13 @@
 namespace {
 
 constexpr Duration kStep = 10ms;
-constexpr Duration kGivenUp = 6s;
-constexpr Tokens kPrompt = 4000;
+constexpr Duration kClientTimeout = 6s;
+constexpr Tokens kPromptTokens = 4000;
 
-class Fleet {
+class FleetModel {
  public:
-  Fleet(std::uint32_t fronts, std::uint32_t readers, double per_second) : rng_(3), rate_(per_second) {
+  FleetModel(std::uint32_t fronts, std::uint32_t prefill_instances, double per_second)
+      : rng_(3), rate_(per_second) {
     Settings s = plain_settings();
     s.fronts = fronts;
     s.classes[0].aim = 1200ms;
@@ -26,41 +28,42 @@
     s.limits.max_retry_advice = 500ms;
     s.writers_read = false;
     std::vector<EngineEntry> list;
-    for (EngineId id = 1; id <= readers; ++id) list.push_back(entry(id, 0, std::uint32_t(id % 4)));
-    for (EngineId id = 101; id <= 100 + readers; ++id) list.push_back(entry(id, 1, std::uint32_t(id % 4)));
-    readers_.resize(readers + 1);
+    for (EngineId id = 1; id <= prefill_instances; ++id) list.push_back(entry(id, 0, std::uint32_t(id % 4)));
+    for (EngineId id = 101; id <= 100 + prefill_instances; ++id)
+      list.push_back(entry(id, 1, std::uint32_t(id % 4)));
+    prefill_instances_.resize(prefill_instances + 1);
     for (std::uint32_t i = 0; i < fronts; ++i) {
       s.seed = i + 1;
       fronts_.push_back({Router(s), RuleChecker(s), {ListChanged{ListScope::disk, list}}, {}});
     }
   }
-  ~Fleet() {
-    for (const OneFront& f : fronts_) {
+  ~FleetModel() {
+    for (const FrontState& f : fronts_) {
       for (const std::string& fault : f.checker.faults()) ADD_FAILURE() << fault;
     }
   }
-  Fleet(const Fleet&) = delete;
-  Fleet& operator=(const Fleet&) = delete;
+  FleetModel(const FleetModel&) = delete;
+  FleetModel& operator=(const FleetModel&) = delete;
 
-  // Lets time run with readers at `speed` of their usual; returns the part of the requests that arrived in it
-  // and were answered within their aim.
+  // Advances time with the prefill instances at `speed` times their usual speed. Returns the share of the
+  // requests arriving in that time that were answered within their target time.
   double run(Duration length, double speed) {
-    const int before = arrived_, well_before = on_time_;
+    const int arrived_before = arrived_, on_time_before = on_time_;
     for (const Time end = now_ + length; now_ < end; now_ += kStep) step(speed);
-    return double(on_time_ - well_before) / double(std::max(1, arrived_ - before));
+    return double(on_time_ - on_time_before) / double(std::max(1, arrived_ - arrived_before));
   }
   [[nodiscard]] const std::set<Duration>& advice() const { return advice_; }
   // From now on one session in ten has prompts of this length.
-  void lengthen(Tokens prompt) { long_prompt_ = prompt; }
-  // Answers of one session, in time or late, of what its clients asked, repeats not counted.
-  struct Share {
+  void set_long_prompts(Tokens prompt) { long_prompt_ = prompt; }
+  // Requests of one session, without retries, and how many of them were answered, in time or late.
+  struct SessionCounts {
     int asked = 0, answered = 0;
   };
-  [[nodiscard]] const std::map<Key, Share>& sessions() const { return sessions_; }
+  [[nodiscard]] const std::map<Key, SessionCounts>& sessions() const { return sessions_; }
   static bool is_long(Key session) { return session % 10 == 0; }
 
  private:
-  struct OneFront {
+  struct FrontState {
     Router router;
     RuleChecker checker;
     std::vector<Event> events;
@@ -72,95 +75,97 @@
     int attempt = 0;
     Time sent{0};
     double left = 0.0;
-    Tokens found = 0;
+    Tokens cached_tokens = 0;
   };
-  struct Reader {
+  struct PrefillInstance {
     std::deque<Job> jobs;
-    std::list<Key> kept;  // latest first
+    std::list<Key> cached;  // most recently used first
   };
-  struct Known {
-    RequestArrived ask;
+  struct RequestState {
+    RequestArrived arrival;
     std::size_t front = 0;
-    Time first{0};  // when its client first asked
+    Time first{0};  // when its client sent it for the first time
     int attempts = 0;
-    std::set<int> out;
+    std::set<int> active;
     bool over = false;
-    bool again = false;
+    bool is_retry = false;
   };
 
-  void ask(Key session, Time first, bool again) {
-    Known k;
-    k.ask.id = next_++;
-    k.ask.session = session;
-    k.ask.prefix = 1000 + session % 12;
-    k.ask.prompt_tokens = is_long(session) ? long_prompt_ : kPrompt;
-    k.ask.prefix_tokens = 2000;
-    k.ask.max_output = 200;
-    k.ask.deadline = now_ + kGivenUp;
+  void send_request(Key session, Time first, bool is_retry) {
+    RequestState k;
+    k.arrival.id = next_++;
+    k.arrival.session = session;
+    k.arrival.prefix = 1000 + session % 12;
+    k.arrival.prompt_tokens = is_long(session) ? long_prompt_ : kPromptTokens;
+    k.arrival.prefix_tokens = 2000;
+    k.arrival.max_output = 200;
+    k.arrival.deadline = now_ + kClientTimeout;
     k.front = rng_() % fronts_.size();
     k.first = first;
-    k.again = again;
-    fronts_[k.front].events.push_back(k.ask);
-    requests_[k.ask.id] = k;
+    k.is_retry = is_retry;
+    fronts_[k.front].events.push_back(k.arrival);
+    requests_[k.arrival.id] = k;
   }
 
-  void end(Known& k, int attempt, EngineId engine, Time sent, Outcome outcome, Tokens detail) {
-    if (k.out.erase(attempt) == 0) return;
+  void end(RequestState& k, int attempt, EngineId engine, Time sent, Outcome outcome, Tokens detail) {
+    if (k.active.erase(attempt) == 0) return;
     fronts_[k.front].events.push_back(
-        AttemptEnded{k.ask.id, attempt, engine, outcome, now_ - sent, k.over, detail, {}});
+        AttemptEnded{k.arrival.id, attempt, engine, outcome, now_ - sent, k.over, detail, {}});
   }
 
   void step(double speed) {
-    for (due_ += rate_ * double(kStep.count()) / 1e6; due_ >= 1.0; due_ -= 1.0) {
+    for (arrivals_due_ += rate_ * double(kStep.count()) / 1e6; arrivals_due_ >= 1.0; arrivals_due_ -= 1.0) {
       ++arrived_;
       const Key session = 1 + rng_() % 240;
       ++sessions_[session].asked;
-      ask(session, now_, false);
+      send_request(session, now_, false);
     }
-    while (!again_.empty() && again_.begin()->first <= now_) {
-      const auto [session, first] = again_.begin()->second;
-      again_.erase(again_.begin());
-      ask(session, first, true);
+    while (!retries_.empty() && retries_.begin()->first <= now_) {
+      const auto [session, first] = retries_.begin()->second;
+      retries_.erase(retries_.begin());
+      send_request(session, first, true);
     }
-    for (EngineId id = 1; id < readers_.size(); ++id) read(id, 30000.0 * speed * double(kStep.count()) / 1e6);
+    for (EngineId id = 1; id < prefill_instances_.size(); ++id)
+      process_queue(id, 30000.0 * speed * double(kStep.count()) / 1e6);
     while (!streams_.empty() && streams_.begin()->first <= now_) {
       const auto [id, engine] = streams_.begin()->second;
       streams_.erase(streams_.begin());
       const auto it = requests_.find(id);
       if (it == requests_.end() || it->second.over) continue;
-      Known& k = it->second;
+      RequestState& k = it->second;
       k.over = true;
       on_time_ += now_ - k.first <= 1200ms;
-      ++sessions_[k.ask.session].answered;
+      ++sessions_[k.arrival.session].answered;
       fronts_[k.front].events.push_back(StreamStarted{id, k.attempts - 1, engine, 50ms});
       end(k, k.attempts - 1, engine, now_ - 50ms, Outcome::served, 0);
     }
     for (auto& [id, k] : requests_) {
-      if (k.over || now_ < k.ask.deadline) continue;
+      if (k.over || now_ < k.arrival.deadline) continue;
       k.over = true;
       fronts_[k.front].events.push_back(RequestGone{id});
     }
-    for (std::size_t i = 0; i < fronts_.size(); ++i) serve(i);
-    std::erase_if(requests_, [](const auto& p) { return p.second.over && p.second.out.empty(); });
+    for (std::size_t i = 0; i < fronts_.size(); ++i) run_front(i);
+    std::erase_if(requests_, [](const auto& p) { return p.second.over && p.second.active.empty(); });
   }
 
-  // Works on the first in the queue; new text costs time, kept text none.
-  void read(EngineId id, double tokens) {
-    Reader& reader = readers_[id];
-    while (!reader.jobs.empty() && tokens > 0.0) {
-      Job& job = reader.jobs.front();
-      const double part = std::min(tokens, job.left);
-      job.left -= part;
-      tokens -= part;
+  // Processes the first job of the queue; new tokens take time, cached tokens none.
+  void process_queue(EngineId id, double tokens) {
+    PrefillInstance& prefill_instance = prefill_instances_[id];
+    while (!prefill_instance.jobs.empty() && tokens > 0.0) {
+      Job& job = prefill_instance.jobs.front();
+      const double processed = std::min(tokens, job.left);
+      job.left -= processed;
+      tokens -= processed;
       if (job.left > 0.0) return;
       const auto it = requests_.find(job.id);
-      if (it != requests_.end()) end(it->second, job.attempt, id, job.sent, Outcome::state_held, job.found);
-      reader.jobs.pop_front();
+      if (it != requests_.end())
+        end(it->second, job.attempt, id, job.sent, Outcome::state_held, job.cached_tokens);
+      prefill_instance.jobs.pop_front();
     }
   }
 
-  void serve(std::size_t index) {
-    OneFront& f = fronts_[index];
+  void run_front(std::size_t index) {
+    FrontState& f = fronts_[index];
     std::vector<Event> events = std::exchange(f.events, {});
     while (!f.timers.empty() && f.timers.begin()->first <= now_) {
       events.push_back(TimerFired{f.timers.begin()->second});
@@ -172,8 +177,8 @@
     f.checker.did(now_, actions);
     for (const Action& action : actions) {
       if (const auto* timer = std::get_if<SetTimer>(&action)) f.timers.insert({timer->at, timer->tag});
-      if (const auto* send = std::get_if<Send>(&action)) sent(*send);
-      if (const auto* refuse = std::get_if<Refuse>(&action)) refused(*refuse);
+      if (const auto* send = std::get_if<Send>(&action)) on_send(*send);
+      if (const auto* refuse = std::get_if<Refuse>(&action)) on_refuse(*refuse);
       if (const auto* cancel = std::get_if<Cancel>(&action)) {
         const auto it = requests_.find(cancel->id);
         if (it != requests_.end()) end(it->second, cancel->attempt, 0, now_, Outcome::cancelled, 0);
@@ -181,85 +186,86 @@
     }
   }
 
-  void sent(const Send& send) {
-    Known& k = requests_.at(send.id);
+  void on_send(const Send& send) {
+    RequestState& k = requests_.at(send.id);
     const int attempt = k.attempts++;
-    k.out.insert(attempt);
+    k.active.insert(attempt);
     if (send.engine > 100) {
       streams_.insert({now_ + 50ms, {send.id, send.engine}});
       return;
     }
-    Reader& reader = readers_[send.engine];
-    if (reader.jobs.size() >= 30) return end(k, attempt, send.engine, now_, Outcome::busy, 0);
-    Job job{k.front, send.id, attempt, now_, double(k.ask.prompt_tokens), 0};
-    for (const Key key : {k.ask.session, k.ask.prefix}) {
-      const auto it = std::find(reader.kept.begin(), reader.kept.end(), key);
-      if (it == reader.kept.end()) continue;
-      job.found = std::max<Tokens>(job.found, key == k.ask.session ? k.ask.prompt_tokens - 400 : 2000);
-      reader.kept.erase(it);
+    PrefillInstance& prefill_instance = prefill_instances_[send.engine];
+    if (prefill_instance.jobs.size() >= 30) return end(k, attempt, send.engine, now_, Outcome::busy, 0);
+    Job job{k.front, send.id, attempt, now_, double(k.arrival.prompt_tokens), 0};
+    for (const Key key : {k.arrival.session, k.arrival.prefix}) {
+      const auto it = std::find(prefill_instance.cached.begin(), prefill_instance.cached.end(), key);
+      if (it == prefill_instance.cached.end()) continue;
+      job.cached_tokens = std::max<Tokens>(job.cached_tokens,
+                                           key == k.arrival.session ? k.arrival.prompt_tokens - 400 : 2000);
+      prefill_instance.cached.erase(it);
     }
-    job.left -= double(job.found);
-    reader.kept.push_front(k.ask.prefix);
-    reader.kept.push_front(k.ask.session);
-    while (reader.kept.size() > 40) reader.kept.pop_back();
-    reader.jobs.push_back(job);
+    job.left -= double(job.cached_tokens);
+    prefill_instance.cached.push_front(k.arrival.prefix);
+    prefill_instance.cached.push_front(k.arrival.session);
+    while (prefill_instance.cached.size() > 40) prefill_instance.cached.pop_back();
+    prefill_instance.jobs.push_back(job);
   }
 
-  void refused(const Refuse& refuse) {
-    Known& k = requests_.at(refuse.id);
+  void on_refuse(const Refuse& refuse) {
+    RequestState& k = requests_.at(refuse.id);
     k.over = true;
     advice_.insert(refuse.stay_away);
-    if (!k.again)
-      again_.insert({now_ + std::max<Duration>(100ms, refuse.stay_away), {k.ask.session, k.first}});
+    if (!k.is_retry)
+      retries_.insert({now_ + std::max<Duration>(100ms, refuse.stay_away), {k.arrival.session, k.first}});
   }
 
   std::mt19937 rng_;
   double rate_;
-  double due_ = 0.0;
+  double arrivals_due_ = 0.0;
   Time now_{5s};
   RequestId next_ = 1;
   int arrived_ = 0, on_time_ = 0;
-  std::vector<OneFront> fronts_;
-  std::vector<Reader> readers_;
-  std::map<RequestId, Known> requests_;
+  std::vector<FrontState> fronts_;
+  std::vector<PrefillInstance> prefill_instances_;
+  std::map<RequestId, RequestState> requests_;
   std::multimap<Time, std::pair<RequestId, EngineId>> streams_;
-  std::multimap<Time, std::pair<Key, Time>> again_;
+  std::multimap<Time, std::pair<Key, Time>> retries_;
   std::set<Duration> advice_;
-  Tokens long_prompt_ = kPrompt;
-  std::map<Key, Share> sessions_;
+  Tokens long_prompt_ = kPromptTokens;
+  std::map<Key, SessionCounts> sessions_;
 };
 
-class Jam : public testing::TestWithParam<int> {};
+class PrefillOverload : public testing::TestWithParam<int> {};
 
-// Readers bear some 250 requests a second read at home and 60 read anywhere; 120 arrive. For eight seconds
-// they run at a tenth of their speed.
-TEST_P(Jam, EndsWithItsCause) {
-  Fleet fleet(std::uint32_t(GetParam()), 8, 120.0);
+// The prefill instances can process some 250 requests a second where their prefixes are cached, and 60
+// anywhere else; 120 a second arrive. For eight seconds the instances run at a tenth of their speed.
+TEST_P(PrefillOverload, EndsWhenSpeedReturns) {
+  FleetModel fleet(std::uint32_t(GetParam()), 8, 120.0);
   fleet.run(6s, 1.0);
   EXPECT_GE(fleet.run(5s, 1.0), 0.9);
   fleet.run(8s, 0.1);
   fleet.run(5s, 1.0);
   EXPECT_GE(fleet.run(8s, 1.0), 0.9);
-  // Refused ones are told when to come back: within what is allowed, not all at the same moment.
+  // Refused clients are advised when to retry: within the allowed limit, and not all at the same time.
   ASSERT_GT(fleet.advice().size(), 10U);
   EXPECT_GT(*fleet.advice().begin(), 0ms);
   EXPECT_LE(*fleet.advice().rbegin(), 500ms);
 }
 
-INSTANTIATE_TEST_SUITE_P(Fronts, Jam, testing::Values(2, 150));
+INSTANTIATE_TEST_SUITE_P(Fronts, PrefillOverload, testing::Values(2, 150));
 
-class QuietDay : public testing::TestWithParam<int> {};
+class ModerateLoad : public testing::TestWithParam<int> {};
 
-// A third of what the readers bear arrives. A prompt of four times the length is answered as well as others,
-// and nobody is refused throughout.
-TEST_P(QuietDay, ServesLongPromptsAndEverySession) {
-  Fleet fleet(std::uint32_t(GetParam()), 8, 40.0);
-  fleet.lengthen(4 * kPrompt);
+// Requests arrive at a third of the prefill instances' capacity. Prompts of four times the usual length are
+// answered as well as others, and no session is refused throughout.
+TEST_P(ModerateLoad, ServesLongPromptsAndEverySession) {
+  FleetModel fleet(std::uint32_t(GetParam()), 8, 40.0);
+  fleet.set_long_prompts(4 * kPromptTokens);
   fleet.run(60s, 1.0);
-  Fleet::Share all, long_ones;
+  FleetModel::SessionCounts all, long_ones;
   for (const auto& [session, share] : fleet.sessions()) {
     EXPECT_TRUE(share.answered > 0 || share.asked < 3) << "session " << session << ", asked " << share.asked;
-    for (Fleet::Share* part : {&all, Fleet::is_long(session) ? &long_ones : nullptr}) {
+    for (FleetModel::SessionCounts* part : {&all, FleetModel::is_long(session) ? &long_ones : nullptr}) {
       if (part == nullptr) continue;
       part->asked += share.asked;
       part->answered += share.answered;
@@ -271,7 +277,7 @@
   EXPECT_GE(double(long_ones.answered) / long_ones.asked, usual * 2.0 / 3.0);
 }
 
-INSTANTIATE_TEST_SUITE_P(Fronts, QuietDay, testing::Values(2, 150));
+INSTANTIATE_TEST_SUITE_P(Fronts, ModerateLoad, testing::Values(2, 150));
 
 }  // namespace
 }  // namespace eiderarch::test
--- a/tests/fleet_view_test.cpp
+++ b/tests/fleet_view_test.cpp
@@ -1,4 +1,4 @@
-// What a member believes of boxes that another asks for it.
+// What a fleet member accepts about the state of instances from the member that probes them for the fleet.
 #include "duties/fleet_view.hpp"
 
 #include <rapidcheck.h>
@@ -8,7 +8,7 @@
 using namespace bankmux::duties;
 using namespace std::chrono_literals;
 
-TEST_CASE("A prober's report reads back as it was written, and what is spoilt says nothing") {
+TEST_CASE("A report of the probing member decodes to what was encoded and invalid text decodes to nothing") {
   CHECK(rc::check("encode, decode", [] {
     Report report;
     report.number = *rc::gen::arbitrary<std::uint64_t>();
@@ -28,22 +28,22 @@
   }
 }
 
-TEST_CASE("A report stands for asking oneself as long as it is fresh, and an owner always asks") {
+TEST_CASE("A fresh report replaces own probes and the duty's owner always probes") {
   FleetView view(600ms);
-  CHECK(view.asks(0s, false));  // nobody has told anything
+  CHECK(view.asks(0s, false));  // no report has been received yet
   CHECK(view.heard(1s, 5, encode({1, {{"a", true}, {"b", false}}})));
   CHECK_FALSE(view.asks(1s, false));
   CHECK(view.asks(1s, true));
   CHECK(view.runs(1s, "a") == true);
   CHECK(view.runs(1s, "b") == false);
   CHECK_FALSE(view.runs(1s, "c"));
-  // Read again, it is no younger; and an older one, or one that can't be read, changes nothing.
+  // Reading a report again does not make it newer. An older report or an invalid one changes nothing.
   CHECK_FALSE(view.heard(1500ms, 5, encode({1, {{"a", false}}})));
   CHECK_FALSE(view.heard(1500ms, 4, encode({9, {{"a", false}}})));
   CHECK_FALSE(view.heard(1500ms, 6, "nonsense"));
   CHECK(view.runs(1500ms, "a") == true);
   CHECK(view.asks(1600ms, false));
   CHECK_FALSE(view.runs(1600ms, "a"));
-  CHECK(view.heard(1700ms, 7, encode({1, {{"a", false}}})));  // of a new owner, whose numbers begin anew
+  CHECK(view.heard(1700ms, 7, encode({1, {{"a", false}}})));  // from a new owner, whose numbers start anew
   CHECK(view.runs(1700ms, "a") == false);
 }
--- a/tests/front.hpp
+++ b/tests/front.hpp
@@ -1,4 +1,4 @@
-// A router under test with a clock and the rule checker around it.
+// A router under test with a simulated clock and the rule checker attached.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -21,7 +21,8 @@
 constexpr EngineId kWriterB = 22;
 constexpr EngineId kMixed = 31;
 
-// Two readers, two writers, a mixed server in two cells; classes: safe, keyed (cell), unsafe.
+// Two prefill instances, two decode instances and one of both roles, in two cells. Classes: safe, keyed
+// (group cell), unsafe.
 inline Settings plain_settings() {
   Settings s;
   s.seed = 7;
@@ -88,7 +89,7 @@
     return last;
   }
 
-  // Lets the clock run, firing the timers that come due.
+  // Advances the clock and fires the timers that come due.
   void run(Duration length) {
     const Time end = now + length;
     while (!timers_.empty() && timers_.begin()->first <= end) {
@@ -130,7 +131,7 @@
     return give({StreamStarted{id, attempt, engine, 50ms}});
   }
 
-  // The whole ordinary life of a request; returns the writer.
+  // Runs a request without faults from arrival to end; returns the decode instance.
   EngineId serve(RequestId id, std::uint32_t cls = 0, Tokens prompt = 3000, Key session = 0,
                  Tokens kept = 0) {
     arrive(id, cls, prompt, session);
@@ -146,7 +147,7 @@
     return *to;
   }
 
-  // The server of the first Send among the last actions.
+  // The instance of the first Send among the last actions.
   [[nodiscard]] std::optional<EngineId> sent() const {
     for (const Action& action : last) {
       if (const auto* send = std::get_if<Send>(&action)) return send->engine;
--- a/tests/repeat_test.cpp
+++ b/tests/repeat_test.cpp
@@ -1,4 +1,5 @@
-// A request that must not be repeated: what proves that an attempt did not execute it, and what may follow.
+// Requests that must not be executed twice: what proves that an attempt did not execute one, and what may
+// follow.
 #include "core/execution.hpp"
 #include "core_world.hpp"
 
@@ -10,34 +11,33 @@
 
 namespace {
 
-constexpr std::uint32_t kSafe = 0, kUnsafe = 1;  // classes of the world
-constexpr std::uint32_t kReader = 0, kWriter = 1, kMixed = 2;
+constexpr std::uint32_t kSafe = 0, kUnsafe = 1;  // class indexes of the fixture's settings
+constexpr std::uint32_t kPrefill = 0, kDecode = 1, kMixed = 2;
 
-std::ptrdiff_t opened(const World& w) {
+std::ptrdiff_t attempts_opened(const CoreFixture& w) {
   return std::ranges::count_if(w.instances.log, [](const auto& line) { return line.starts_with("open "); });
 }
 
-// Two instances read, one writes; the first read is out, and has been written.
-struct WithRead : World {
-  WithRead() {
-    list("r1", kReader);
-    list("r2", kReader);
-    list("w", kWriter);
+// Two prefill instances and one decode instance; `start_prefill` starts a first prefill and writes it.
+struct WithPrefill : CoreFixture {
+  WithPrefill() {
+    list_instance("r1", kPrefill);
+    list_instance("r2", kPrefill);
+    list_instance("w", kDecode);
   }
-  void read(std::uint32_t cls) {
-    ask(cls, 3000);
-    REQUIRE(instances.out != nullptr);
-    REQUIRE(instances.out->name.starts_with("r"));
-    instances.written();
+  void start_prefill(std::uint32_t cls) {
+    send_request(cls, 3000);
+    REQUIRE(instances.attempt != nullptr);
+    REQUIRE(instances.attempt->name.starts_with("r"));
+    instances.finish_write();
   }
 };
 
 }  // namespace
 
-// ---- What an end proves ----
+// ---- What the end of an attempt proves ----
 
-TEST_CASE(
-    "Repeat: only what never left whole, a word of refusal, or a finished read prove that nothing ran") {
+TEST_CASE("Repeat: only an incomplete request, a refusal or a completed prefill proves that nothing ran") {
   const auto outcome = [](Verdict verdict, Progress progress, bool prefill = false) {
     AttemptResult result;
     result.verdict = verdict;
@@ -61,21 +61,22 @@
   CHECK_FALSE(proves_not_executed(outcome(Verdict::state_held, Progress::ended)));
 }
 
-TEST_CASE("Repeat: each class's rule on further attempts and refusals, by where and when earlier ones went") {
-  eiderarch::RequestClass safe, keyed, harmful;
+TEST_CASE(
+    "Repeat: the rules of each class on further attempts and refusals by place and time of earlier ones") {
+  eiderarch::RequestClass safe, keyed, unsafe_class;
   safe.effect = Effect::safe;
   keyed.effect = Effect::keyed;
   keyed.repeat_window = 1s;
-  harmful.effect = Effect::unsafe;
+  unsafe_class.effect = Effect::unsafe;
   ExecutionRecord record;
   record.note({1, 7, 10s}, Outcome::busy);
   CHECK_FALSE(record.may_have_executed());
-  CHECK(record.permits(harmful, {1, 7, 11s}));
+  CHECK(record.permits(unsafe_class, {1, 7, 11s}));
   record.note({1, 7, 10s}, Outcome::reset);
   CHECK(record.permits(safe, {2, 9, 60s}));
   CHECK(record.permits_refusal(safe));
-  CHECK_FALSE(record.permits(harmful, {1, 7, 10s}));
-  CHECK_FALSE(record.permits_refusal(harmful));
+  CHECK_FALSE(record.permits(unsafe_class, {1, 7, 10s}));
+  CHECK_FALSE(record.permits_refusal(unsafe_class));
   CHECK(record.permits(keyed, {2, 9, 10s + 999ms}));
   CHECK_FALSE(record.permits(keyed, {1, 7, 11s}));
   CHECK(record.permits_refusal(keyed));
@@ -88,134 +89,136 @@
   CHECK_FALSE(record.permits(keyed, {1, 9, 10s}));
 }
 
-// ---- The end of an attempt that this side gave up, on its way ----
+// ---- Delivery of the close of an attempt that this side gave up ----
 
-// The instance was still at work on the read when the further attempt, on a pooled connection, or the refusal
-// had arrived: a second one out.
-TEST_CASE("Repeat: a further attempt waits until the end of the one given up has been heard") {
+// Guards against two attempts at once: the instance was still working on the prefill when the further
+// attempt, sent on a pooled connection, or the refusal arrived.
+TEST_CASE("Repeat: a further attempt waits until the close of the previous one has been delivered") {
   for (const std::uint32_t cls : {kSafe, kUnsafe}) {
     CAPTURE(cls);
-    WithRead w;
-    w.read(cls);
-    w.instances.ended(Verdict::broken, Progress::written, true);
+    WithPrefill w;
+    w.start_prefill(cls);
+    w.instances.end_attempt(Verdict::broken, Progress::written, true);
     w.time.pass(9ms);
-    CHECK(opened(w) == 1);
+    CHECK(attempts_opened(w) == 1);
     w.time.pass(1ms);
-    CHECK(opened(w) == 2);
+    CHECK(attempts_opened(w) == 2);
   }
 }
 
-TEST_CASE("Repeat: what the instance itself has ended is followed at once") {
-  WithRead w;
-  w.read(kUnsafe);
-  w.instances.ended(Verdict::broken, Progress::written);
+TEST_CASE("Repeat: an attempt that its instance ended is followed at once") {
+  WithPrefill w;
+  w.start_prefill(kUnsafe);
+  w.instances.end_attempt(Verdict::broken, Progress::written);
   w.time.settle();
-  CHECK(opened(w) == 2);
+  CHECK(attempts_opened(w) == 2);
 }
 
-TEST_CASE("Repeat: a read that is called off has its end heard before its client is refused") {
-  WithRead w;
-  w.read(kUnsafe);
-  const std::string first = w.instances.out->name;
-  for (int i = 0; i < 6000 && w.instances.out != nullptr; ++i) w.time.pass(1ms);
-  REQUIRE(w.instances.out == nullptr);  // by the module, too late for another
-  REQUIRE(w.instances.log == Log{"open " + first, "close " + first, "release " + first});
+TEST_CASE("Repeat: the close of a cancelled prefill is delivered before its client is refused") {
+  WithPrefill w;
+  w.start_prefill(kUnsafe);
+  const std::string first = w.instances.attempt->name;
+  for (int i = 0; i < 6000 && w.instances.attempt != nullptr; ++i) w.time.pass(1ms);
+  REQUIRE(w.instances.attempt == nullptr);  // cancelled by the module, too late for another attempt
+  REQUIRE(w.instances.log == EventLog{"open " + first, "close " + first, "release " + first});
   w.time.pass(8ms);
   CHECK(w.answers.empty());
   w.time.pass(2ms);
-  CHECK(w.answers == Log{"refused"});
+  CHECK(w.answers == EventLog{"refused"});
 }
 
-TEST_CASE("Repeat: at shutdown a refusal waits until the end of the read given up has been heard") {
+TEST_CASE("Repeat: at shutdown a refusal waits until the close of the prefill has been delivered") {
   for (const std::uint32_t cls : {kSafe, kUnsafe}) {
     CAPTURE(cls);
-    WithRead w;
-    w.read(cls);
+    WithPrefill w;
+    w.start_prefill(cls);
     w.conductor->abandon();
     w.time.pass(9ms);
-    CHECK(w.answers == (cls == kSafe ? Log{"refused"} : Log{}));
+    CHECK(w.answers == (cls == kSafe ? EventLog{"refused"} : EventLog{}));
     w.time.pass(1ms);
-    CHECK(w.answers == Log{"refused"});
+    CHECK(w.answers == EventLog{"refused"});
     w.time.pass(1s);
     CHECK(w.answers.size() == 1);
-    CHECK(opened(w) == 1);
+    CHECK(attempts_opened(w) == 1);
     CHECK(w.conductor->open_requests() == 0);
   }
 }
 
-TEST_CASE("Repeat: at shutdown a further attempt that still waits is not sent, and its client hears once") {
-  WithRead w;
-  w.read(kUnsafe);
-  w.instances.ended(Verdict::broken, Progress::written, true);
+TEST_CASE(
+    "Repeat: at shutdown a further attempt that still waits is not sent and its client is answered once") {
+  WithPrefill w;
+  w.start_prefill(kUnsafe);
+  w.instances.end_attempt(Verdict::broken, Progress::written, true);
   w.time.pass(5ms);
   w.conductor->abandon();
   w.time.pass(1s);
-  CHECK(opened(w) == 1);
-  CHECK(w.answers == Log{"refused"});
+  CHECK(attempts_opened(w) == 1);
+  CHECK(w.answers == EventLog{"refused"});
 }
 
-TEST_CASE("Repeat: a client that leaves while the further attempt waits is the end of it") {
-  WithRead w;
-  const RequestId id = w.ask(kUnsafe, 3000);
-  w.instances.written();
-  w.instances.ended(Verdict::broken, Progress::written, true);
+TEST_CASE("Repeat: a request whose client leaves while the further attempt waits ends without an attempt") {
+  WithPrefill w;
+  const RequestId id = w.send_request(kUnsafe, 3000);
+  w.instances.finish_write();
+  w.instances.end_attempt(Verdict::broken, Progress::written, true);
   w.time.pass(5ms);
   w.conductor->client_gone(id);
   w.time.pass(1s);
-  CHECK(opened(w) == 1);
+  CHECK(attempts_opened(w) == 1);
   CHECK(w.answers.empty());
   CHECK(w.conductor->open_requests() == 0);
 }
 
 TEST_CASE(
-    "Repeat: a read still out at the deadline is refused once its end has been heard, before it is late") {
-  WithRead w;
-  w.ask(kUnsafe, 3000, 400ms);
-  w.instances.written();
+    "Repeat: a prefill still active at the deadline is refused in time once its close has been delivered") {
+  WithPrefill w;
+  w.send_request(kUnsafe, 3000, 400ms);
+  w.instances.finish_write();
   w.time.pass(400ms + 9ms);
   CHECK(w.answers.empty());
   w.time.pass(1ms);
-  CHECK(w.answers == Log{"refused"});
-  CHECK(w.conductor->open_requests() == 0);  // without it the process would never end
+  CHECK(w.answers == EventLog{"refused"});
+  CHECK(w.conductor->open_requests() == 0);  // otherwise the process would never end
 }
 
-// ---- Reader or writer ----
+// ---- Change of an instance's role ----
 
-// The module took it for a reader, whose attempts have no effect; by then the list said that it writes.
+// Guards against a second execution: the module chose the instance as a prefill instance, whose attempts have
+// no effect, but before the attempt began the list made it a decode instance.
 TEST_CASE(
-    "Repeat: an instance that turns from a reader into a writer may execute, and the guard stops the next") {
-  WithRead w;
-  w.read(kUnsafe);
-  const std::string other = w.instances.out->name == "r1" ? "r2" : "r1";
-  w.instances.ended(Verdict::broken, Progress::written, true);
-  w.time.pass(5ms);  // the further attempt is chosen, and waits
-  w.list(other, kWriter);
+    "Repeat: an instance that changes from prefill to decode may execute and no decode attempt follows") {
+  WithPrefill w;
+  w.start_prefill(kUnsafe);
+  const std::string other = w.instances.attempt->name == "r1" ? "r2" : "r1";
+  w.instances.end_attempt(Verdict::broken, Progress::written, true);
+  w.time.pass(5ms);  // the further attempt has been chosen, and waits
+  w.list_instance(other, kDecode);
   w.time.pass(5ms);
-  REQUIRE(w.instances.out != nullptr);
-  REQUIRE(w.instances.out->name == other);
-  CHECK(w.instances.out->may_write());
-  w.instances.written();
-  w.instances.ended(Verdict::broken, Progress::written);
+  REQUIRE(w.instances.attempt != nullptr);
+  REQUIRE(w.instances.attempt->name == other);
+  CHECK(w.instances.attempt->may_write());
+  w.instances.finish_write();
+  w.instances.end_attempt(Verdict::broken, Progress::written);
   w.time.settle();
-  // The module may have it read again, which has no effect; nothing else is let out.
-  for (int i = 0; i < 4 && w.instances.out != nullptr; ++i) {
-    if (w.instances.out->may_write()) {
-      REQUIRE(w.instances.out->name == (other == "r1" ? "r2" : "r1"));
-      w.instances.written();
-      w.instances.ended(Verdict::state_held);
+  // The module may order a prefill again, which has no effect; nothing else is sent.
+  for (int i = 0; i < 4 && w.instances.attempt != nullptr; ++i) {
+    if (w.instances.attempt->may_write()) {
+      REQUIRE(w.instances.attempt->name == (other == "r1" ? "r2" : "r1"));
+      w.instances.finish_write();
+      w.instances.end_attempt(Verdict::state_held);
     } else {
-      w.instances.ended(Verdict::broken, Progress::not_connected);
+      w.instances.end_attempt(Verdict::broken, Progress::not_connected);
     }
     w.time.settle();
   }
   w.time.pass(1s);
-  CHECK(w.answers == Log{"failed"});
+  CHECK(w.answers == EventLog{"failed"});
 }
 
-TEST_CASE("Repeat: an entry of the list without a kind leaves the instance's as it was") {
-  World w;
-  w.list("w", kMixed);
-  w.list("v", kMixed);
+TEST_CASE("Repeat: a list entry without a kind leaves the kind of its instance unchanged") {
+  CoreFixture w;
+  w.list_instance("w", kMixed);
+  w.list_instance("v", kMixed);
   Listed row;
   row.id = row.address = "w";
   row.entry.engine = std::hash<std::string>{}("w");
