--- a/src/core/conductor.cpp
+++ b/src/core/conductor.cpp
@@ -59,17 +59,17 @@
 
 void Conductor::client_gone(RequestId id) { deliver(id, ClientGone{}); }
 
-void Conductor::news(const FleetNews& news) {
-  const std::vector<EngineId> lost = fleet_.update(scheduler_.now(), news);
+void Conductor::news(const FleetNews& list_update) {
+  const std::vector<EngineId> lost = fleet_.update(scheduler_.now(), list_update);
   for (const EngineId instance : lost) {
     if (const Fleet::Member* member = fleet_.find(instance)) instances_.forget(member->target);
     for (auto& [id, r] : requests_) {
       if (r->attempt && r->instance == instance) r->inbox.push(InstanceLost{});
     }
   }
-  if (news.scope == eiderarch::ListScope::changes && news.entries.empty()) return;
-  eiderarch::ListChanged event{news.scope, {}};
-  for (const Listed& row : news.entries) event.entries.push_back(fleet_.told(row.entry.engine));
+  if (list_update.scope == eiderarch::ListScope::changes && list_update.entries.empty()) return;
+  eiderarch::ListChanged event{list_update.scope, {}};
+  for (const Listed& row : list_update.entries) event.entries.push_back(fleet_.told(row.entry.engine));
   post(std::move(event));
 }
 
--- a/src/core/request.hpp
+++ b/src/core/request.hpp
@@ -23,7 +23,7 @@
 };
 struct ClientGone {};
 struct DeadlinePassed {};   // the client's limit for the first token has passed
-struct DecisionOverdue {};  // and the module has not ended the request since
+struct DecisionOverdue {};  // the module has not ended the request soon after that
 struct AttemptTimedOut {};  // the module's time limit for this attempt has passed
 struct SendTooLate {};      // the module's limit for writing the last byte has passed
 struct StreamStalled {};
--- a/tests/core_test.cpp
+++ b/tests/core_test.cpp
@@ -446,8 +446,8 @@
   w.time.settle();
   REQUIRE(w.instances.log == EventLog{"open r", "claim w", "close r", "release r", "release w"});
   w.instances.releases.at(1)(true);
-  w.list_instance("r", 0,
-                  eiderarch::EngineState::gone);  // it accepts no calls, and what it held is freed with it
+  // It accepts no calls, and what it held is freed with it.
+  w.list_instance("r", 0, eiderarch::EngineState::gone);
   w.instances.releases.at(0)(false);
   w.time.pass(1s);
   CHECK(w.instances.log.size() == 5);
