--- a/src/log/log.cpp
+++ b/src/log/log.cpp
@@ -12,15 +12,16 @@
 
 namespace {
 
-constexpr int kLinesPerSecond = 20;  // for each topic; a storm of failures must not cost the loop its time
+constexpr int kMaxLinesPerSecond = 20;  // per topic; a burst of failures must not slow down the loop
 
-struct Quota {
-  std::chrono::steady_clock::time_point since{};
+struct RateLimit {
+  std::chrono::steady_clock::time_point window_start{};
   int lines = 0;
   int dropped = 0;
 };
 
-// The pattern closes the object that the message continues. One thread writes, so the sink takes no lock.
+// The pattern closes the JSON object that the message continues. Only one thread logs, so the sink is
+// unlocked.
 spdlog::logger& sink() {
   static const std::shared_ptr<spdlog::logger> kLogger = [] {
     auto made =
@@ -36,35 +37,35 @@
   return nlohmann::json(text).dump(-1, ' ', false, nlohmann::json::error_handler_t::replace);
 }
 
-void line(const char* topic, const std::string& text, const std::string& more) {
+void write_line(const char* topic, const std::string& text, const std::string& more) {
   sink().log(spdlog::level::info, "\"topic\":" + quoted(topic) + ",\"text\":" + quoted(text) + more);
 }
 
-bool allowed(const char* topic) {
-  static std::map<std::string, Quota> quotas;  // topics are literals, so there are few
-  Quota& quota = quotas[topic];
+bool within_rate_limit(const char* topic) {
+  static std::map<std::string, RateLimit> limits;  // topics are string literals, so the map stays small
+  RateLimit& limit = limits[topic];
   const auto now = std::chrono::steady_clock::now();
-  if (now - quota.since >= std::chrono::seconds(1)) {
-    if (quota.dropped > 0) line(topic, "lines left out", ",\"count\":" + std::to_string(quota.dropped));
-    quota = {now, 0, 0};
+  if (now - limit.window_start >= std::chrono::seconds(1)) {
+    if (limit.dropped > 0) write_line(topic, "lines left out", ",\"count\":" + std::to_string(limit.dropped));
+    limit = {now, 0, 0};
   }
-  if (++quota.lines <= kLinesPerSecond) return true;
-  ++quota.dropped;
+  if (++limit.lines <= kMaxLinesPerSecond) return true;
+  ++limit.dropped;
   return false;
 }
 
 }  // namespace
 
 void write(const char* topic, const std::string& text) {
-  if (allowed(topic)) line(topic, text, "");
+  if (within_rate_limit(topic)) write_line(topic, text, "");
 }
 
 void write(const char* topic, const std::string& text, const std::function<nlohmann::json()>& fields) {
-  if (!allowed(topic)) return;
+  if (!within_rate_limit(topic)) return;
   std::string more = fields().dump(-1, ' ', false, nlohmann::json::error_handler_t::replace);
   more.pop_back();  // the pattern closes the object
   more.front() = ',';
-  line(topic, text, more.size() > 1 ? more : "");
+  write_line(topic, text, more.size() > 1 ? more : "");
 }
 
 }  // namespace bankmux::log
--- a/src/log/log.hpp
+++ b/src/log/log.hpp
@@ -1,5 +1,4 @@
-// The one way to the log: JSON lines on standard error, at most so many a second for each topic.
-// Lies below everything else; knows no other folder.
+// Structured log: JSON lines on standard error, rate-limited per topic. Depends on no other module.
 #pragma once
 
 #include <functional>
@@ -8,11 +7,11 @@
 
 namespace bankmux::log {
 
-// `topic` groups lines that share one allowance. Lines beyond it are counted, and the next second's first
-// line of the topic is preceded by the count.
+// `topic` selects the rate limit. Lines above the limit are dropped and counted; the count is logged before
+// the topic's first line of the next second.
 void write(const char* topic, const std::string& text);
-// The same with fields of its own beside `time`, `level`, `topic` and `text`: an object, made only where the
-// line is not left out.
+// As above, with additional fields beside `time`, `level`, `topic` and `text`. `fields` must return an object
+// and is called only if the line is not dropped.
 void write(const char* topic, const std::string& text, const std::function<nlohmann::json()>& fields);
 
 }  // namespace bankmux::log
--- a/src/net/loop/loop.cpp
+++ b/src/net/loop/loop.cpp
@@ -20,7 +20,7 @@
 
 namespace {
 
-constexpr int kBacklog = 512;  // a burst of new connections waits here rather than fails
+constexpr int kListenBacklog = 512;  // absorbs bursts of new connections that would otherwise be refused
 
 std::int64_t micros(auto since_epoch) {
   return std::chrono::duration_cast<std::chrono::microseconds>(since_epoch).count();
@@ -32,12 +32,13 @@
       : run_(std::move(run)), event_(event_new(base, -1, 0, &LoopTimer::fired, this)) {
     const auto us = std::max<std::int64_t>(wait.count(), 0);
     const timeval time{static_cast<time_t>(us / 1'000'000), static_cast<suseconds_t>(us % 1'000'000)};
-    if (!event_ || event_add(event_.get(), &time) != 0) throw std::runtime_error("no timer");
+    if (!event_ || event_add(event_.get(), &time) != 0)
+      throw std::runtime_error("cannot create a timer event");
   }
 
  private:
   static void fired(evutil_socket_t, short, void* self) {
-    // Taken out first: what runs may destroy this timer.
+    // Moved out first, because the callback may destroy this timer.
     const std::function<void()> run = std::move(static_cast<LoopTimer*>(self)->run_);
     guarded("timer", run);
   }
@@ -62,7 +63,7 @@
 }
 
 Loop::Loop() : base_(event_base_new()) {
-  if (!base_) throw std::runtime_error("libevent offers no loop here");
+  if (!base_) throw std::runtime_error("cannot create the libevent event loop");
   soon_event_.reset(event_new(
       base_.get(), -1, 0, [](evutil_socket_t, short, void* self) { static_cast<Loop*>(self)->run_soon(); },
       this));
@@ -81,15 +82,15 @@
 }
 
 void Loop::soon(std::function<void()> run) {
-  if (soon_.empty()) {
+  if (soon_tasks_.empty()) {
     const timeval none{0, 0};
     event_add(soon_event_.get(), &none);
   }
-  soon_.push_back(std::move(run));
+  soon_tasks_.push_back(std::move(run));
 }
 
 void Loop::run_soon() {
-  for (const auto& run : std::exchange(soon_, {})) guarded("loop", run);
+  for (const auto& run : std::exchange(soon_tasks_, {})) guarded("loop", run);
 }
 
 EventPtr Loop::on_signal(int number, std::function<void()>* run) {
@@ -99,7 +100,8 @@
         guarded("signal", *static_cast<std::function<void()>*>(handler));
       },
       run));
-  if (!signal || event_add(signal.get(), nullptr) != 0) throw std::runtime_error("no signal handler");
+  if (!signal || event_add(signal.get(), nullptr) != 0)
+    throw std::runtime_error("cannot create a signal event");
   return signal;
 }
 
@@ -111,16 +113,16 @@
     ip.sin_port = htons(at->port);
     inet_pton(AF_INET, at->host.c_str(), &ip.sin_addr);
     const unsigned flags = LEV_OPT_CLOSE_ON_FREE | LEV_OPT_CLOSE_ON_EXEC | LEV_OPT_REUSEABLE;
-    listener.reset(evconnlistener_new_bind(base_.get(), accepted, self, flags, kBacklog,
+    listener.reset(evconnlistener_new_bind(base_.get(), accepted, self, flags, kListenBacklog,
                                            reinterpret_cast<sockaddr*>(&ip), sizeof ip));
   }
   if (!listener) throw std::runtime_error("cannot listen at '" + address + "'");
   return listener;
 }
 
-ListenerPtr Loop::adopt(int socket, evconnlistener_cb accepted, void* self) {
+ListenerPtr Loop::listen_on(int socket, evconnlistener_cb accepted, void* self) {
   evutil_make_socket_nonblocking(socket);
-  // A backlog of 0: it listens already, and how many may wait is whoever opened it's to say.
+  // Backlog 0 keeps the value set by the process that opened the socket, which already listens.
   const unsigned flags = LEV_OPT_CLOSE_ON_FREE | LEV_OPT_CLOSE_ON_EXEC;
   ListenerPtr listener(evconnlistener_new(base_.get(), accepted, self, flags, 0, socket));
   if (!listener) throw std::runtime_error("cannot accept on descriptor " + std::to_string(socket));
--- a/src/net/loop/loop.hpp
+++ b/src/net/loop/loop.hpp
@@ -1,4 +1,4 @@
-// libevent's loop behind the core's Scheduler, and owners for libevent's objects.
+// Event loop: implements core::Scheduler on libevent, with RAII owners for libevent objects.
 #pragma once
 
 #include <event2/buffer.h>
@@ -30,14 +30,14 @@
 using BufferPtr = std::unique_ptr<evbuffer, Freed<evbuffer_free>>;
 using ListenerPtr = std::unique_ptr<evconnlistener, Freed<evconnlistener_free>>;
 
-// Runs what a callback does; an exception ends there and is logged, for none may pass through libevent's
-// C frames.
+// Runs `run` and logs any exception under `where`. Exceptions must not propagate through libevent's C frames.
 void guarded(const char* where, const std::function<void()>& run);
 
-// Whether an error of accept4 speaks of one connection alone, or of a signal: Linux hands on what already
-// went wrong on a waiting connection's network. The next one may be accepted at once.
+// Whether an accept4 error concerns a single connection or a signal, so that the next call may succeed at
+// once. Linux reports pending network errors of a waiting connection through accept4.
 [[nodiscard]] bool accept_error_is_transient(int error);
 
+// Single-threaded event loop. Callbacks that throw are logged, see guarded().
 class Loop : public core::Scheduler {
  public:
   Loop();
@@ -50,12 +50,13 @@
   void soon(std::function<void()> run) override;
 
   [[nodiscard]] event_base* base() const { return base_.get(); }
-  // Calls `run` at each of that signal.
+  // Calls `run` each time the signal `number` arrives.
   [[nodiscard]] EventPtr on_signal(int number, std::function<void()>* run);
-  // Listens at an address of the configuration; throws std::runtime_error where it cannot.
+  // Listens at an address from the configuration. Throws std::runtime_error on failure.
   [[nodiscard]] ListenerPtr listen(const std::string& address, evconnlistener_cb accepted, void* self);
-  // Accepts on a socket that listens already and that other processes may accept on too.
-  [[nodiscard]] ListenerPtr adopt(int socket, evconnlistener_cb accepted, void* self);
+  // Accepts on a socket that is already listening and may be shared with other processes. Throws
+  // std::runtime_error on failure.
+  [[nodiscard]] ListenerPtr listen_on(int socket, evconnlistener_cb accepted, void* self);
   void run();
   void stop();
 
@@ -64,8 +65,9 @@
 
   BasePtr base_;
   EventPtr soon_event_;
-  std::vector<std::function<void()>> soon_;
-  std::int64_t offset_us_ = 0;  // Unix time less the steady clock, as at the start
+  std::vector<std::function<void()>> soon_tasks_;
+  // Unix time minus the steady clock, in microseconds, taken once at construction
+  std::int64_t offset_us_ = 0;
 };
 
 }  // namespace bankmux::net
--- a/src/net/loop/mailbox.hpp
+++ b/src/net/loop/mailbox.hpp
@@ -1,4 +1,4 @@
-// Brings work of other threads onto the loop: the one door between them.
+// Runs callbacks posted by other threads on the event loop. This is the only way for them to reach it.
 #pragma once
 
 #include <functional>
@@ -11,22 +11,22 @@
 
 class Mailbox {
  public:
-  // Throws std::runtime_error where the system gives no descriptor.
+  // Throws std::runtime_error if no descriptor or event can be created.
   explicit Mailbox(Loop& loop);
   ~Mailbox();
   Mailbox(const Mailbox&) = delete;
   Mailbox& operator=(const Mailbox&) = delete;
 
-  // From any thread; runs on the loop, in order. What has not run by the mailbox's end never does.
+  // Thread-safe. Callbacks run on the loop in the order posted; those pending at destruction never run.
   void post(std::function<void()> run);
 
  private:
-  void open();
+  void run_posted();
 
   int descriptor_;
-  EventPtr readable_;
+  EventPtr readable_event_;
   std::mutex mutex_;
-  std::vector<std::function<void()>> waiting_;
+  std::vector<std::function<void()>> posted_;
 };
 
 }  // namespace bankmux::net
