--- a/src/net/handover/stream_socket.cpp
+++ b/src/net/handover/stream_socket.cpp
@@ -18,13 +18,15 @@
 
 namespace {
 
-constexpr int kBacklog = 4;               // one caller at a time is usual
-constexpr std::size_t kMostCallers = 8;   // that are connected; a predecessor, and one before that
-constexpr int kSendBuffer = 1024 * 1024;  // some dozen streams at once; the rest go a moment later
-constexpr std::size_t kDescriptors = 2;   // the client's connection, then the instance's
-constexpr int kMessagesAtOnce = 32;       // then the loop sees to the rest
-
-// A path longer than the address has room for is reached by way of its folder.
+constexpr int kListenBacklog = 4;  // usually a single sender connects at a time
+// Simultaneous sender connections: the previous process and the one before it.
+constexpr std::size_t kMaxSenders = 8;
+// Room for some dozen streams at once; the rest follow when the buffer drains.
+constexpr int kSendBufferBytes = 1024 * 1024;
+constexpr std::size_t kDescriptorsPerMessage = 2;  // the client's connection, then the instance's
+constexpr int kMaxMessagesPerEvent = 32;           // then other events of the loop get their turn
+
+// Resolves a socket path. A path too long for sun_path is reached through a descriptor of its directory.
 class UnixAddress {
  public:
   explicit UnixAddress(const std::string& path) {
@@ -48,21 +50,21 @@
   bool fits_ = false;
 };
 
-Descriptor unix_socket() {
+Descriptor open_unix_socket() {
   return Descriptor(::socket(AF_UNIX, SOCK_SEQPACKET | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
 }
 
-// Of this user alone: whoever else reaches the folder has no say in this conductor's clients.
+// Only processes of the same user may exchange streams; access to the directory alone is not enough.
 bool same_user(int socket) {
   ucred peer{};
   socklen_t size = sizeof peer;
   return getsockopt(socket, SOL_SOCKET, SO_PEERCRED, &peer, &size) == 0 && peer.uid == geteuid();
 }
 
-using Control = std::array<char, CMSG_SPACE(sizeof(int) * kDescriptors * 2)>;
+using Control = std::array<char, CMSG_SPACE(sizeof(int) * kDescriptorsPerMessage * 2)>;
 
-// All descriptors that came, however many: what is not wanted must be closed, not leaked.
-std::vector<Descriptor> descriptors_of(const msghdr& message) {
+// Takes ownership of every descriptor in the message, so that unexpected ones are closed rather than leaked.
+std::vector<Descriptor> received_descriptors(const msghdr& message) {
   std::vector<Descriptor> result;
   for (cmsghdr* part = CMSG_FIRSTHDR(&message); part != nullptr;
        part = CMSG_NXTHDR(const_cast<msghdr*>(&message), part)) {
@@ -97,52 +99,54 @@
 
 // ---- StreamReceiver ----
 
-StreamReceiver::StreamReceiver(Loop& loop, const std::string& path, Take take)
-    : loop_(loop), take_(std::move(take)), listener_(unix_socket()) {
+StreamReceiver::StreamReceiver(Loop& loop, const std::string& path, StreamHandler take)
+    : loop_(loop), on_stream_(std::move(take)), listener_(open_unix_socket()) {
   const UnixAddress address(path);
-  // The name may be the process's that this one follows; that one keeps its socket and loses the name.
+  // The path may belong to the process being replaced. That process keeps its socket but loses the name.
   (void)::unlink(path.c_str());
   const mode_t mask = ::umask(0177);
   const bool bound = listener_.get() >= 0 && address.fits() &&
                      ::bind(listener_.get(), address.get(), UnixAddress::size()) == 0;
   ::umask(mask);
-  if (!bound || ::listen(listener_.get(), kBacklog) != 0) {
+  if (!bound || ::listen(listener_.get(), kListenBacklog) != 0) {
     throw std::runtime_error("cannot listen at " + path + ": " + std::strerror(errno));
   }
-  acceptable_.reset(event_new(
+  accept_event_.reset(event_new(
       loop_.base(), listener_.get(), EV_READ | EV_PERSIST,
       [](evutil_socket_t, short, void* self) {
-        guarded("handover", [self] { static_cast<StreamReceiver*>(self)->accept(); });
+        guarded("handover", [self] { static_cast<StreamReceiver*>(self)->on_connection(); });
       },
       this));
-  if (!acceptable_ || event_add(acceptable_.get(), nullptr) != 0) throw std::runtime_error("no event");
+  if (!accept_event_ || event_add(accept_event_.get(), nullptr) != 0)
+    throw std::runtime_error("cannot create an event for the handover socket");
 }
 
 StreamReceiver::~StreamReceiver() = default;
 
-void StreamReceiver::accept() {
+void StreamReceiver::on_connection() {
   Descriptor socket(::accept4(listener_.get(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC));
-  if (socket.get() < 0 || callers_.size() >= kMostCallers || !same_user(socket.get())) return;
+  if (socket.get() < 0 || connections_.size() >= kMaxSenders || !same_user(socket.get())) return;
   const auto hello = operations::kStreamsHello;
   if (::send(socket.get(), hello.data(), hello.size(), MSG_NOSIGNAL) != ssize_t(hello.size())) return;
-  Caller& caller = callers_.emplace_back();
-  caller.receiver = this;
-  caller.socket = std::move(socket);
-  caller.readable.reset(event_new(
-      loop_.base(), caller.socket.get(), EV_READ | EV_PERSIST,
+  Connection& connection = connections_.emplace_back();
+  connection.receiver = this;
+  connection.socket = std::move(socket);
+  connection.readable.reset(event_new(
+      loop_.base(), connection.socket.get(), EV_READ | EV_PERSIST,
       [](evutil_socket_t, short, void* self) {
-        auto* mine = static_cast<Caller*>(self);
-        StreamReceiver& receiver = *mine->receiver;
+        auto* sender_connection = static_cast<Connection*>(self);
+        StreamReceiver& receiver = *sender_connection->receiver;
         guarded("handover", [&] {
-          for (int i = 0; i < kMessagesAtOnce; ++i) {
-            if (receiver.receive(mine->socket.get())) continue;
-            receiver.callers_.remove_if([mine](const Caller& other) { return &other == mine; });
+          for (int i = 0; i < kMaxMessagesPerEvent; ++i) {
+            if (receiver.receive(sender_connection->socket.get())) continue;
+            receiver.connections_.remove_if(
+                [sender_connection](const Connection& other) { return &other == sender_connection; });
             return;
           }
         });
       },
-      &caller));
-  event_add(caller.readable.get(), nullptr);
+      &connection));
+  event_add(connection.readable.get(), nullptr);
 }
 
 bool StreamReceiver::receive(int socket) {
@@ -154,20 +158,20 @@
   message.msg_iovlen = 1;
   message.msg_control = control.data();
   message.msg_controllen = control.size();
-  const ssize_t got = ::recvmsg(socket, &message, MSG_CMSG_CLOEXEC | MSG_DONTWAIT);
-  if (got < 0 && (errno == EAGAIN || errno == EINTR)) return true;
-  std::vector<Descriptor> descriptors = descriptors_of(message);
-  if (got <= 0) return false;
-  text.resize(std::size_t(got));
+  const ssize_t received = ::recvmsg(socket, &message, MSG_CMSG_CLOEXEC | MSG_DONTWAIT);
+  if (received < 0 && (errno == EAGAIN || errno == EINTR)) return true;
+  std::vector<Descriptor> descriptors = received_descriptors(message);
+  if (received <= 0) return false;
+  text.resize(std::size_t(received));
   auto stream = operations::decode_stream(text);
-  const bool cut = (message.msg_flags & (MSG_TRUNC | MSG_CTRUNC)) != 0;
-  if (cut || !stream || descriptors.size() != kDescriptors) {
-    log::write("handover", "a stream that was passed on can't be read; it breaks off");
+  const bool truncated = (message.msg_flags & (MSG_TRUNC | MSG_CTRUNC)) != 0;
+  if (truncated || !stream || descriptors.size() != kDescriptorsPerMessage) {
+    log::write("handover", "received a malformed stream message; the stream is broken off");
     return true;
   }
   stream->stream.client.descriptor = descriptors[0].release();
   stream->stream.instance.descriptor = descriptors[1].release();
-  take_(std::move(*stream));
+  on_stream_(std::move(*stream));
   return true;
 }
 
@@ -176,12 +180,12 @@
 std::unique_ptr<StreamSender> StreamSender::call(Loop& loop, const std::string& path,
                                                  std::function<void()> ready, std::function<void()> ended) {
   const UnixAddress address(path);
-  Descriptor socket = unix_socket();
+  Descriptor socket = open_unix_socket();
   if (socket.get() < 0 || !address.fits() ||
       ::connect(socket.get(), address.get(), UnixAddress::size()) != 0 || !same_user(socket.get())) {
     return nullptr;
   }
-  setsockopt(socket.get(), SOL_SOCKET, SO_SNDBUF, &kSendBuffer, sizeof kSendBuffer);
+  setsockopt(socket.get(), SOL_SOCKET, SO_SNDBUF, &kSendBufferBytes, sizeof kSendBufferBytes);
   return std::unique_ptr<StreamSender>(
       new StreamSender(loop, std::move(socket), std::move(ready), std::move(ended)));
 }
@@ -189,43 +193,45 @@
 StreamSender::StreamSender(Loop& loop, Descriptor socket, std::function<void()> ready,
                            std::function<void()> ended)
     : socket_(std::move(socket)), ready_(std::move(ready)), ended_(std::move(ended)) {
-  readable_.reset(event_new(
+  readable_event_.reset(event_new(
       loop.base(), socket_.get(), EV_READ | EV_PERSIST,
       [](evutil_socket_t, short, void* self) {
-        guarded("handover", [self] { static_cast<StreamSender*>(self)->hear(); });
+        guarded("handover", [self] { static_cast<StreamSender*>(self)->on_readable(); });
       },
       this));
-  if (!readable_ || event_add(readable_.get(), nullptr) != 0) throw std::runtime_error("no event");
+  if (!readable_event_ || event_add(readable_event_.get(), nullptr) != 0)
+    throw std::runtime_error("cannot create an event for the handover socket");
 }
 
 StreamSender::~StreamSender() = default;
 
-void StreamSender::hear() {
+void StreamSender::on_readable() {
   char text[64];
-  const ssize_t got = ::recv(socket_.get(), text, sizeof text, MSG_DONTWAIT);
-  if (got < 0 && (errno == EAGAIN || errno == EINTR)) return;
-  const bool known = got > 0 && std::string_view(text, std::size_t(got)) == operations::kStreamsHello;
-  if (known && !std::exchange(greeted_, true)) return ready_();
-  event_del(readable_.get());
-  greeted_ = false;
+  const ssize_t received = ::recv(socket_.get(), text, sizeof text, MSG_DONTWAIT);
+  if (received < 0 && (errno == EAGAIN || errno == EINTR)) return;
+  const bool is_hello =
+      received > 0 && std::string_view(text, std::size_t(received)) == operations::kStreamsHello;
+  if (is_hello && !std::exchange(hello_received_, true)) return ready_();
+  event_del(readable_event_.get());
+  hello_received_ = false;
   ended_();
 }
 
 bool StreamSender::send(const std::string& message, int client, int instance) {
-  if (!greeted_ || message.empty()) return false;
+  if (!hello_received_ || message.empty()) return false;
   iovec part{const_cast<char*>(message.data()), message.size()};
   alignas(cmsghdr) Control control{};
   msghdr header{};
   header.msg_iov = &part;
   header.msg_iovlen = 1;
   header.msg_control = control.data();
-  header.msg_controllen = CMSG_SPACE(sizeof(int) * kDescriptors);
-  cmsghdr* rights = CMSG_FIRSTHDR(&header);
-  rights->cmsg_level = SOL_SOCKET;
-  rights->cmsg_type = SCM_RIGHTS;
-  rights->cmsg_len = CMSG_LEN(sizeof(int) * kDescriptors);
-  const int descriptors[kDescriptors] = {client, instance};
-  std::memcpy(CMSG_DATA(rights), descriptors, sizeof descriptors);
+  header.msg_controllen = CMSG_SPACE(sizeof(int) * kDescriptorsPerMessage);
+  cmsghdr* ancillary = CMSG_FIRSTHDR(&header);
+  ancillary->cmsg_level = SOL_SOCKET;
+  ancillary->cmsg_type = SCM_RIGHTS;
+  ancillary->cmsg_len = CMSG_LEN(sizeof(int) * kDescriptorsPerMessage);
+  const int descriptors[kDescriptorsPerMessage] = {client, instance};
+  std::memcpy(CMSG_DATA(ancillary), descriptors, sizeof descriptors);
   return ::sendmsg(socket_.get(), &header, MSG_DONTWAIT | MSG_NOSIGNAL) == ssize_t(message.size());
 }
 
--- a/src/net/handover/stream_socket.hpp
+++ b/src/net/handover/stream_socket.hpp
@@ -1,6 +1,6 @@
-// Carries running streams from one process of a conductor to the next: a Unix socket of whole messages, each
-// with two descriptors beside it (unix(7), SCM_RIGHTS). Only where the platform passes the clients' socket
-// on.
+// Hands running streams over from one conductor process to its successor: a Unix SOCK_SEQPACKET socket whose
+// messages each carry two descriptors (unix(7), SCM_RIGHTS). Used only if the platform passes the listening
+// socket on.
 #pragma once
 
 #include <functional>
@@ -13,6 +13,7 @@
 
 namespace bankmux::net {
 
+// Owns a file descriptor; -1 means none.
 class Descriptor {
  public:
   explicit Descriptor(int fd = -1) : fd_(fd) {}
@@ -20,62 +21,63 @@
   Descriptor& operator=(Descriptor&& other) noexcept;
   ~Descriptor();
   [[nodiscard]] int get() const { return fd_; }
+  // Gives up ownership and returns the descriptor.
   int release();
 
  private:
   int fd_;
 };
 
-// The one that takes over. Another that starts at the same name takes the name over in turn.
+// Receiving side, in the successor. A later process that binds the same path takes the path over in turn.
 class StreamReceiver {
  public:
-  // Is given each stream once, with both descriptors, which it owns from then on.
-  using Take = std::function<void(operations::PassedStream)>;
-  // Throws std::runtime_error where it can't listen there.
-  StreamReceiver(Loop& loop, const std::string& path, Take take);
+  // Called once per stream; the callee owns both descriptors from then on.
+  using StreamHandler = std::function<void(operations::PassedStream)>;
+  // Throws std::runtime_error if it cannot listen at `path`.
+  StreamReceiver(Loop& loop, const std::string& path, StreamHandler take);
   ~StreamReceiver();
   StreamReceiver(const StreamReceiver&) = delete;
   StreamReceiver& operator=(const StreamReceiver&) = delete;
 
  private:
-  struct Caller {
+  struct Connection {
     StreamReceiver* receiver = nullptr;
     Descriptor socket;
     EventPtr readable;
   };
-  void accept();
-  // False once the caller is gone or has sent what can't be read.
+  void on_connection();
+  // Reads one message. False if the sender has disconnected or the read failed.
   bool receive(int socket);
 
   Loop& loop_;
-  Take take_;
+  StreamHandler on_stream_;
   Descriptor listener_;
-  EventPtr acceptable_;
-  std::list<Caller> callers_;
+  EventPtr accept_event_;
+  std::list<Connection> connections_;
 };
 
-// The one that ends.
+// Sending side, in the process that shuts down.
 class StreamSender {
  public:
-  // Calls whoever listens at `path`; null where nobody does. `ready` is called once it has said that it reads
-  // this program's format, and `ended` if it never does or is gone.
+  // Connects to the receiver listening at `path`; null if there is none. `ready` is called once the receiver
+  // has confirmed that it reads this message format; `ended` if it never does or the connection ends.
   static std::unique_ptr<StreamSender> call(Loop& loop, const std::string& path, std::function<void()> ready,
                                             std::function<void()> ended);
   ~StreamSender();
   StreamSender(const StreamSender&) = delete;
   StreamSender& operator=(const StreamSender&) = delete;
 
-  // True: the message and both descriptors are on their way, for good. False: nothing of it is.
+  // True if the message and both descriptors were sent and cannot be recalled; false if nothing was sent.
   bool send(const std::string& message, int client, int instance);
 
  private:
   StreamSender(Loop& loop, Descriptor socket, std::function<void()> ready, std::function<void()> ended);
-  void hear();
+  void on_readable();
 
   Descriptor socket_;
   std::function<void()> ready_, ended_;
-  bool greeted_ = false;
-  EventPtr readable_;
+  bool hello_received_ = false;
+  EventPtr readable_event_;
 };
 
 }  // namespace bankmux::net
