--- a/src/net/http/content_coding.cpp
+++ b/src/net/http/content_coding.cpp
@@ -13,68 +13,70 @@
 
 namespace {
 
-constexpr std::size_t kPiece = 64 * 1024;
-constexpr int kAnyZlibHeader = 15 + 32;  // window bits; 32 tells gzip from zlib by the header
-constexpr int kRawDeflate = -15;
-constexpr unsigned kMostZstdWindow =
-    23;  // log2 of bytes: 8 MiB, what decoders must take; a frame may ask for more
+constexpr std::size_t kBufferBytes = 64 * 1024;
+// Values of windowBits for zlib; adding 32 detects gzip or zlib by the header.
+constexpr int kZlibOrGzipWindowBits = 15 + 32;
+constexpr int kRawDeflateWindowBits = -15;
+// log2 of bytes: 8 MiB, the size that every decoder must support. A frame may ask for more.
+constexpr unsigned kMaxZstdWindowLog = 23;
 
-// Takes a piece of what was expanded; false once it is too much.
-class Sink {
+// Output buffer that rejects data beyond its limit.
+class BoundedOutput {
  public:
-  Sink(std::size_t coded, std::size_t most)
-      : most_(std::min(most, std::max(coded * kMostExpansion, kPiece))) {}
-  bool take(const char* bytes, std::size_t size) {
-    if (body.size() + size > most_) return false;
+  BoundedOutput(std::size_t encoded, std::size_t max_size)
+      : max_size_(std::min(max_size, std::max(encoded * kMaxExpansionRatio, kBufferBytes))) {}
+  bool write(const char* bytes, std::size_t size) {
+    if (body.size() + size > max_size_) return false;
     body.append(bytes, size);
     return true;
   }
   std::string body;
 
  private:
-  std::size_t most_;
+  std::size_t max_size_;
 };
 
-Expanded inflated(std::string_view coded, std::size_t most, int window_bits) {
+Expanded inflate_body(std::string_view encoded, std::size_t max_size, int window_bits) {
   z_stream stream{};
   if (inflateInit2(&stream, window_bits) != Z_OK) return {Coding::broken, {}};
   const std::unique_ptr<z_stream, int (*)(z_stream*)> owner(&stream, inflateEnd);
-  stream.next_in = reinterpret_cast<Bytef*>(const_cast<char*>(coded.data()));
-  stream.avail_in = static_cast<uInt>(coded.size());
-  Sink sink(coded.size(), most);
-  std::array<char, kPiece> piece;
+  stream.next_in = reinterpret_cast<Bytef*>(const_cast<char*>(encoded.data()));
+  stream.avail_in = static_cast<uInt>(encoded.size());
+  BoundedOutput output(encoded.size(), max_size);
+  std::array<char, kBufferBytes> buffer;
   for (int result = Z_OK; result != Z_STREAM_END;) {
-    stream.next_out = reinterpret_cast<Bytef*>(piece.data());
-    stream.avail_out = piece.size();
+    stream.next_out = reinterpret_cast<Bytef*>(buffer.data());
+    stream.avail_out = buffer.size();
     result = inflate(&stream, Z_NO_FLUSH);
-    const std::size_t got = piece.size() - stream.avail_out;
-    if (result != Z_OK && result != Z_STREAM_END) return {Coding::broken, {}};  // ends too early, too
-    if (!sink.take(piece.data(), got)) return {Coding::too_large, {}};
-    if (result == Z_OK && got == 0 && stream.avail_in == 0) return {Coding::broken, {}};
+    const std::size_t produced = buffer.size() - stream.avail_out;
+    if (result != Z_OK && result != Z_STREAM_END) return {Coding::broken, {}};  // includes truncated input
+    if (!output.write(buffer.data(), produced)) return {Coding::too_large, {}};
+    if (result == Z_OK && produced == 0 && stream.avail_in == 0) return {Coding::broken, {}};
   }
-  // Something behind the end would be read by some and not by others.
+  // Some recipients would read data behind the end of the stream and others would not.
   if (stream.avail_in > 0) return {Coding::broken, {}};
-  return {Coding::done, std::move(sink.body)};
+  return {Coding::done, std::move(output.body)};
 }
 
-Expanded unzstd(std::string_view coded, std::size_t most) {
+Expanded decompress_zstd(std::string_view encoded, std::size_t max_size) {
   const std::unique_ptr<ZSTD_DCtx, size_t (*)(ZSTD_DCtx*)> context(ZSTD_createDCtx(), ZSTD_freeDCtx);
-  if (!context || ZSTD_isError(ZSTD_DCtx_setParameter(context.get(), ZSTD_d_windowLogMax, kMostZstdWindow))) {
+  if (!context ||
+      ZSTD_isError(ZSTD_DCtx_setParameter(context.get(), ZSTD_d_windowLogMax, kMaxZstdWindowLog))) {
     return {Coding::broken, {}};
   }
-  Sink sink(coded.size(), most);
-  std::array<char, kPiece> piece;
-  ZSTD_inBuffer in{coded.data(), coded.size(), 0};
-  std::size_t left = 1;  // 0: the frame has ended
-  while (left != 0) {
-    ZSTD_outBuffer out{piece.data(), piece.size(), 0};
-    left = ZSTD_decompressStream(context.get(), &out, &in);
-    if (ZSTD_isError(left)) return {Coding::broken, {}};
-    if (!sink.take(piece.data(), out.pos)) return {Coding::too_large, {}};
-    if (left != 0 && out.pos == 0 && in.pos == in.size) return {Coding::broken, {}};
+  BoundedOutput output(encoded.size(), max_size);
+  std::array<char, kBufferBytes> buffer;
+  ZSTD_inBuffer in{encoded.data(), encoded.size(), 0};
+  std::size_t remaining = 1;  // 0 at the end of the frame
+  while (remaining != 0) {
+    ZSTD_outBuffer out{buffer.data(), buffer.size(), 0};
+    remaining = ZSTD_decompressStream(context.get(), &out, &in);
+    if (ZSTD_isError(remaining)) return {Coding::broken, {}};
+    if (!output.write(buffer.data(), out.pos)) return {Coding::too_large, {}};
+    if (remaining != 0 && out.pos == 0 && in.pos == in.size) return {Coding::broken, {}};
   }
   if (in.pos != in.size) return {Coding::broken, {}};
-  return {Coding::done, std::move(sink.body)};
+  return {Coding::done, std::move(output.body)};
 }
 
 }  // namespace
@@ -86,18 +88,19 @@
              [coding](const char* known) { return same_name(coding, known); });
 }
 
-Expanded expand(std::string_view coding, std::string body, std::size_t most) {
+Expanded expand(std::string_view coding, std::string body, std::size_t max_size) {
   if (coding.empty() || same_name(coding, "identity")) {
-    if (body.size() > most) return {Coding::too_large, {}};
+    if (body.size() > max_size) return {Coding::too_large, {}};
     return {Coding::done, std::move(body)};
   }
-  if (same_name(coding, "gzip") || same_name(coding, "x-gzip")) return inflated(body, most, kAnyZlibHeader);
+  if (same_name(coding, "gzip") || same_name(coding, "x-gzip"))
+    return inflate_body(body, max_size, kZlibOrGzipWindowBits);
   if (same_name(coding, "deflate")) {
-    // The standard means zlib's form; some senders leave its header out.
-    Expanded result = inflated(body, most, kAnyZlibHeader);
-    return result.coding == Coding::broken ? inflated(body, most, kRawDeflate) : result;
+    // The standard means the zlib format; some senders omit its header.
+    Expanded result = inflate_body(body, max_size, kZlibOrGzipWindowBits);
+    return result.coding == Coding::broken ? inflate_body(body, max_size, kRawDeflateWindowBits) : result;
   }
-  if (same_name(coding, "zstd")) return unzstd(body, most);
+  if (same_name(coding, "zstd")) return decompress_zstd(body, max_size);
   return {Coding::unknown, {}};
 }
 
--- a/src/net/http/content_coding.hpp
+++ b/src/net/http/content_coding.hpp
@@ -1,5 +1,5 @@
-// Expands the bodies of requests that come coded (RFC 9110, section 8.4: gzip, deflate, zstd). In pieces, so
-// that a body made to expand without end costs no more than the limit. Pure.
+// Decodes request bodies by Content-Encoding (RFC 9110, section 8.4: gzip, deflate, zstd). Decodes in pieces,
+// so that a decompression bomb costs no more memory than the limit. Pure functions.
 #pragma once
 
 #include <string>
@@ -11,17 +11,17 @@
 
 struct Expanded {
   Coding coding = Coding::done;
-  std::string body;  // where done
+  std::string body;  // set if `coding` is done
 };
 
-// Bytes of expanded text for each coded one, beyond which a body is taken for a bomb. JSON of ordinary
-// prompts comes to 20; a run of one letter to 1,000.
-constexpr std::size_t kMostExpansion = 200;
+// Decoded bytes per encoded byte above which a body is rejected as a decompression bomb. Ordinary JSON
+// prompts reach 20, runs of a single letter 1,000.
+constexpr std::size_t kMaxExpansionRatio = 200;
 
-// Whether expand() knows the coding.
+// Whether expand() supports the coding.
 [[nodiscard]] bool known_coding(std::string_view coding);
-// `coding`: the Content-Encoding header, one coding alone; "identity" and none hand the body back.
-// `most`: bytes that the expanded body may have.
-Expanded expand(std::string_view coding, std::string body, std::size_t most);
+// `coding`: a Content-Encoding value with a single coding; empty and "identity" return the body unchanged.
+// `max_size`: upper bound of the decoded size in bytes.
+Expanded expand(std::string_view coding, std::string body, std::size_t max_size);
 
 }  // namespace bankmux::net
