--- a/src/net/http/http_connection.cpp
+++ b/src/net/http/http_connection.cpp
@@ -19,22 +19,23 @@
 
 namespace {
 
-constexpr std::size_t kMostAhead = 64 * 1024;    // read ahead of the request in hand
-constexpr std::size_t kMostPassed = 64 * 1024;   // unsent, of a stream that another process is to go on with
-constexpr std::size_t kMuchUnread = 256 * 1024;  // of a stream, from which on its source is to wait
-// Of a stream whose source does not wait: one event that is as long as may be, and what else came with it.
-constexpr std::size_t kMostUnread = 4 * 1024 * 1024;
-// From accept, or a later request's first byte, to the last byte of a request. Those who connect and say
-// nothing, or half of it, hold a descriptor for no longer.
-constexpr core::Duration kRequestTime = 2500ms;
-constexpr core::Duration kIdleTime = 60s;
-constexpr timeval kWriteTime{10, 0};  // for a client that reads nothing of its answer
-// How long the end of a client is awaited after a last answer, see ServerLimits::most_thrown_away.
-constexpr core::Duration kLinger = 500ms;
-constexpr core::Duration kLingerAtEnd =
-    100ms;  // the same where this process is about to end; some round trips
-
-const char* reason(int status) {
+constexpr std::size_t kMaxReadAheadBytes = 64 * 1024;  // input buffered beyond the current request
+// Unsent output of a stream up to which it may be handed over to another process.
+constexpr std::size_t kMaxHandoverBytes = 64 * 1024;
+// Unsent output of a stream above which its source is paused.
+constexpr std::size_t kBackpressureBytes = 256 * 1024;
+// Limit for a stream whose source cannot be paused: an event of the maximum size plus what arrived with it.
+constexpr std::size_t kMaxUnsentBytes = 4 * 1024 * 1024;
+// From accept, or from the first byte of a later request, to the last byte of the request. Bounds how long a
+// client that sends nothing, or half a request, holds a descriptor.
+constexpr core::Duration kRequestTimeout = 2500ms;
+constexpr core::Duration kIdleTimeout = 60s;
+constexpr timeval kWriteTimeout{10, 0};  // for a client that does not read its response
+// How long to wait for the client's close after the last response, see ServerLimits::most_thrown_away.
+constexpr core::Duration kLingerTimeout = 500ms;
+constexpr core::Duration kLingerTimeoutAtShutdown = 100ms;  // the same during shutdown; a few round trips
+
+const char* reason_phrase(int status) {
   switch (status) {
     case 100:
       return "Continue";
@@ -79,7 +80,7 @@
     case 505:
       return "HTTP Version Not Supported";
     default:
-      return "Status";  // an instance's own, handed on; its text means nothing by the standard
+      return "Status";  // status chosen by an instance and forwarded; reason phrases carry no meaning in HTTP
   }
 }
 
@@ -91,7 +92,7 @@
     : server_(server),
       stream_(bufferevent_socket_new(server.loop_.base(), socket, BEV_OPT_CLOSE_ON_FREE)),
       parser_(server.limits_.most_body),
-      since_(server.loop_.now()) {
+      phase_start_(server.loop_.now()) {
   if (!stream_) {
     evutil_closesocket(socket);
     throw std::runtime_error("no buffer for a connection");
@@ -102,47 +103,47 @@
   bufferevent_setcb(
       stream_.get(),
       [](bufferevent*, void* self) {
-        guarded("client", [=] { static_cast<HttpConnection*>(self)->read(); });
+        guarded("client", [=] { static_cast<HttpConnection*>(self)->on_readable(); });
       },
       [](bufferevent*, void* self) {
-        guarded("client", [=] { static_cast<HttpConnection*>(self)->drained(); });
+        guarded("client", [=] { static_cast<HttpConnection*>(self)->on_output_drained(); });
       },
       [](bufferevent*, short, void* self) {
-        guarded("client", [=] { static_cast<HttpConnection*>(self)->closed(); });
+        guarded("client", [=] { static_cast<HttpConnection*>(self)->on_closed(); });
       },
       this);
-  bufferevent_setwatermark(stream_.get(), EV_READ, 0, kMostAhead);
-  bufferevent_set_timeouts(stream_.get(), nullptr, &kWriteTime);
+  bufferevent_setwatermark(stream_.get(), EV_READ, 0, kMaxReadAheadBytes);
+  bufferevent_set_timeouts(stream_.get(), nullptr, &kWriteTimeout);
   bufferevent_enable(stream_.get(), EV_READ | EV_WRITE);
 }
 
 HttpConnection::~HttpConnection() {
-  give_back(counted_);
-  if (incoming_ != nullptr) incoming_->lost();
+  release_body_bytes(counted_body_bytes_);
+  if (incoming_ != nullptr) incoming_->on_connection_lost();
 }
 
-void HttpConnection::enter(Phase phase) {
+void HttpConnection::enter_phase(Phase phase) {
   phase_ = phase;
-  since_ = server_.loop_.now();
+  phase_start_ = server_.loop_.now();
 }
 
-bool HttpConnection::overdue(core::Time now) const {
+bool HttpConnection::timed_out(core::Time now) const {
   switch (phase_) {
     case Phase::silent:
-      // What lies unread came in time, and a loop that was held up has not been told of it yet.
-      return age(now) >= kRequestTime && quiet();
+      // Unread input arrived in time; a delayed loop has not yet reported it.
+      return age(now) >= kRequestTimeout && has_no_unread_input();
     case Phase::reading: {
       const std::size_t rate = server_.limits_.least_upload_rate;
-      const auto more = rate > 0 ? core::Duration(counted_ * 1'000'000 / rate) : core::Duration{0};
-      return age(now) >= kRequestTime + more;
+      const auto more = rate > 0 ? core::Duration(counted_body_bytes_ * 1'000'000 / rate) : core::Duration{0};
+      return age(now) >= kRequestTimeout + more;
     }
     case Phase::idle:
-      return age(now) >= kIdleTime && quiet();
+      return age(now) >= kIdleTimeout && has_no_unread_input();
     case Phase::ending: {
       if (evbuffer_get_length(bufferevent_get_output(stream_.get())) > 0) return false;
-      // Unread, the client's end is not told by the loop.
-      if (unread_ && client_closed()) return true;
-      return age(now) >= (server_.winding_down_ ? kLingerAtEnd : kLinger);
+      // With reading disabled, libevent does not report the client's close.
+      if (reading_stopped_ && client_closed()) return true;
+      return age(now) >= (server_.winding_down_ ? kLingerTimeoutAtShutdown : kLingerTimeout);
     }
     case Phase::answering:
       break;
@@ -150,29 +151,29 @@
   return false;
 }
 
-bool HttpConnection::quiet() const {
+bool HttpConnection::has_no_unread_input() const {
   int unread = 0;
   ioctl(bufferevent_getfd(stream_.get()), FIONREAD, &unread);
   return unread == 0 && evbuffer_get_length(bufferevent_get_input(stream_.get())) == 0;
 }
 
-void HttpConnection::go_on(bool chunked, bool last, std::string_view unsent) {
-  enter(Phase::answering);
+void HttpConnection::resume_stream(bool chunked, bool last, std::string_view unsent) {
+  enter_phase(Phase::answering);
   chunked_ = chunked;
-  last_ = last;
+  close_after_response_ = last;
   if (!unsent.empty()) write(unsent);
 }
 
-void HttpConnection::time_out() {
-  if (phase_ == Phase::reading) return refuse(408);
+void HttpConnection::on_timeout() {
+  if (phase_ == Phase::reading) return send_error(408);
   if (phase_ == Phase::ending) return server_.close(*this);
-  end_resting();
+  shut_down_unread();
 }
 
-void HttpConnection::end_resting() {
-  unread_ = true;
+void HttpConnection::shut_down_unread() {
+  reading_stopped_ = true;
   bufferevent_disable(stream_.get(), EV_READ);
-  finish();
+  start_closing();
 }
 
 bool HttpConnection::client_closed() const {
@@ -180,130 +181,133 @@
   return poll(&client, 1, 0) > 0;
 }
 
-void HttpConnection::read() {
+void HttpConnection::on_readable() {
   evbuffer* input = bufferevent_get_input(stream_.get());
   if (phase_ == Phase::ending) {
     const ServerLimits& limits = server_.limits_;
-    thrown_away_ += evbuffer_get_length(input);
+    discarded_bytes_ += evbuffer_get_length(input);
     evbuffer_drain(input, evbuffer_get_length(input));
     const core::Time now = server_.loop_.now();
-    // A client that is still sending will hear its answer only once it has ended.
-    if (now - ended_ < limits.throw_away_for) since_ = now;
-    if (thrown_away_ > limits.most_thrown_away) bufferevent_disable(stream_.get(), EV_READ);
+    // A client that is still sending reads the response only after it has finished.
+    if (now - closing_start_ < limits.throw_away_for) phase_start_ = now;
+    if (discarded_bytes_ > limits.most_thrown_away) bufferevent_disable(stream_.get(), EV_READ);
     return;
   }
-  // What comes while an answer is pending waits its turn, up to the watermark. There, reading would rest, and
-  // the end of its client stay unseen behind these bytes: they are dropped, and this answer is the last.
+  // Input that arrives while a response is pending stays buffered, up to the read watermark. At the
+  // watermark, reading would stop and the client's close would go unnoticed behind the buffered bytes. They
+  // are therefore dropped, and the connection closes after this response.
   if (phase_ == Phase::answering) {
-    if (evbuffer_get_length(input) < kMostAhead) return;
-    last_ = true;
-    thrown_away_ += evbuffer_get_length(input);
+    if (evbuffer_get_length(input) < kMaxReadAheadBytes) return;
+    close_after_response_ = true;
+    discarded_bytes_ += evbuffer_get_length(input);
     evbuffer_drain(input, evbuffer_get_length(input));
-    if (thrown_away_ > server_.limits_.most_thrown_away) server_.close(*this);
+    if (discarded_bytes_ > server_.limits_.most_thrown_away) server_.close(*this);
     return;
   }
   if (evbuffer_get_length(input) == 0) return;
-  if (phase_ == Phase::idle) enter(Phase::reading);
+  if (phase_ == Phase::idle) enter_phase(Phase::reading);
   phase_ = Phase::reading;
   const std::size_t size = evbuffer_get_length(input);
   const char* bytes = reinterpret_cast<const char*>(evbuffer_pullup(input, -1));
   const bool had_head = parser_.state() != MessageParser::State::head;
-  const std::size_t used = parser_.take({bytes, size}, body_);
+  const std::size_t used = parser_.feed_limited({bytes, size}, body_);
   evbuffer_drain(input, used);
-  if (parser_.state() == MessageParser::State::bad) return refuse(parser_.fault());
-  // Guards memory: all bodies together, from their first byte until their request is answered.
-  server_.body_bytes_ += body_.size() - counted_;
-  counted_ = body_.size();
-  if (server_.body_bytes_ > server_.limits_.body_bytes) return refuse(503, {{"Retry-After", "1"}});
-  if (parser_.state() == MessageParser::State::done) return request_done();
+  if (parser_.state() == MessageParser::State::bad) return send_error(parser_.error_status());
+  // Bounds memory: all request bodies together, from their first byte until the request is answered.
+  server_.body_bytes_ += body_.size() - counted_body_bytes_;
+  counted_body_bytes_ = body_.size();
+  if (server_.body_bytes_ > server_.limits_.body_bytes) return send_error(503, {{"Retry-After", "1"}});
+  if (parser_.state() == MessageParser::State::done) return dispatch_request();
   if (!had_head && parser_.state() == MessageParser::State::body && parser_.expects_continue()) {
-    // Not asked to go on, the client hears its answer without having sent its body.
-    if (server_.hooks_.wants && !server_.hooks_.wants(parser_)) return request_done(false);
+    // Without 100 Continue, the client receives its response before sending the body.
+    if (server_.hooks_.wants && !server_.hooks_.wants(parser_)) return dispatch_request(false);
     write("HTTP/1.1 100 Continue\r\n\r\n");
   }
 }
 
-void HttpConnection::request_done(bool whole) {
+void HttpConnection::dispatch_request(bool whole) {
   phase_ = Phase::answering;
-  last_ = !parser_.keep_alive() || !whole;
-  chunked_ = !parser_.old();
-  bodyless_ = parser_.method() == "HEAD";
+  close_after_response_ = !parser_.keep_alive() || !whole;
+  chunked_ = !parser_.is_http_1_0();
+  omit_body_ = parser_.method() == "HEAD";
   server_.handler_(std::make_unique<Incoming>(
       *this, std::exchange(parser_, RequestParser(server_.limits_.most_body)), std::exchange(body_, {})));
 }
 
-// The request is not to be answered by any front.
-void HttpConnection::refuse(int status, Headers more) {
+// Answers a request that is not passed to the handler, with an error of the server.
+void HttpConnection::send_error(int status, Headers more) {
   phase_ = Phase::answering;
-  last_ = true;
+  close_after_response_ = true;
   body_ = {};
   if (server_.limits_.one_fault && status != 503) status = 400;
-  std::string text = std::string(reason(status)) + "\n";
+  std::string text = std::string(reason_phrase(status)) + "\n";
   if (server_.hooks_.error) {
     auto [headers, body] = server_.hooks_.error(status);
     text = std::move(body);
     more.insert(more.end(), headers.begin(), headers.end());
   }
-  head(status, more, "Content-Length: " + std::to_string(text.size()) + "\r\n");
+  write_head(status, more, "Content-Length: " + std::to_string(text.size()) + "\r\n");
   if (parser_.method() != "HEAD") write(text);
-  answered();
+  response_complete();
 }
 
-void HttpConnection::head(int status, const Headers& headers, const std::string& framing) {
-  if (server_.winding_down_ || server_.crowded()) last_ = true;
-  std::string text = "HTTP/1.1 " + std::to_string(status) + ' ' + reason(status) + "\r\n";
+void HttpConnection::write_head(int status, const Headers& headers, const std::string& framing) {
+  if (server_.winding_down_ || server_.near_connection_limit()) close_after_response_ = true;
+  std::string text = "HTTP/1.1 " + std::to_string(status) + ' ' + reason_phrase(status) + "\r\n";
   for (const auto& [name, value] : headers) text.append(name).append(": ").append(value).append("\r\n");
-  write(text + framing + (last_ ? "Connection: close\r\n\r\n" : "\r\n"));
+  write(text + framing + (close_after_response_ ? "Connection: close\r\n\r\n" : "\r\n"));
 }
 
 void HttpConnection::write(std::string_view bytes) {
   bufferevent_write(stream_.get(), bytes.data(), bytes.size());
 }
 
-void HttpConnection::answered() {
-  give_back(counted_);
-  // A stream that began before the end was told has no `Connection: close` in its head. Kept, its connection
-  // would bring a next request that there is no time left for.
-  if (last_ || server_.winding_down_) return finish();
-  enter(Phase::idle);
-  // The next request may have come already; it is read from the loop, for the handler may be what is calling.
+void HttpConnection::response_complete() {
+  release_body_bytes(counted_body_bytes_);
+  // A stream that began before the shutdown has no `Connection: close` in its head. If its connection were
+  // kept, the client could send a request for which there is no time left.
+  if (close_after_response_ || server_.winding_down_) return start_closing();
+  enter_phase(Phase::idle);
+  // The next request may already be buffered. It is read from the loop, because the handler may be on the
+  // call stack.
   if (evbuffer_get_length(bufferevent_get_input(stream_.get())) > 0) {
     bufferevent_trigger(stream_.get(), EV_READ, BEV_TRIG_IGNORE_WATERMARKS | BEV_TRIG_DEFER_CALLBACKS);
   }
 }
 
-void HttpConnection::give_back(std::size_t bytes) {
+void HttpConnection::release_body_bytes(std::size_t bytes) {
   server_.body_bytes_ -= bytes;
-  counted_ -= bytes;
+  counted_body_bytes_ -= bytes;
 }
 
-// Once all is out the end of this side is told, and the client's awaited for a moment: a close over bytes
-// that have come meanwhile would reset the connection, and destroy what is still on its way.
-void HttpConnection::finish() {
-  enter(Phase::ending);
-  ended_ = since_;
+// After all output is written, shuts down this side and waits briefly for the client's close. Closing a
+// socket with unread input would reset the connection and could destroy output in transit.
+void HttpConnection::start_closing() {
+  enter_phase(Phase::ending);
+  closing_start_ = phase_start_;
   if (server_.throw_away_rate_) bufferevent_set_rate_limit(stream_.get(), server_.throw_away_rate_.get());
   if (evbuffer_get_length(bufferevent_get_output(stream_.get())) == 0) {
-    if (!reset_) shutdown(bufferevent_getfd(stream_.get()), SHUT_WR);
+    if (!reset_on_close_) shutdown(bufferevent_getfd(stream_.get()), SHUT_WR);
     bufferevent_trigger(stream_.get(), EV_WRITE, BEV_TRIG_IGNORE_WATERMARKS | BEV_TRIG_DEFER_CALLBACKS);
   }
   evbuffer* input = bufferevent_get_input(stream_.get());
   evbuffer_drain(input, evbuffer_get_length(input));
 }
 
-void HttpConnection::drained() {
-  if (phase_ == Phase::answering && incoming_ != nullptr && incoming_->room_) {
-    const std::function<void()> room = std::exchange(incoming_->room_, nullptr);
+void HttpConnection::on_output_drained() {
+  if (phase_ == Phase::answering && incoming_ != nullptr && incoming_->on_drained_) {
+    const std::function<void()> room = std::exchange(incoming_->on_drained_, nullptr);
     return room();
   }
   if (phase_ != Phase::ending) return;
-  if (reset_) return server_.close(*this);
+  if (reset_on_close_) return server_.close(*this);
   shutdown(bufferevent_getfd(stream_.get()), SHUT_WR);
-  since_ = server_.loop_.now();
+  phase_start_ = server_.loop_.now();
 }
 
-// By the client, or it has read nothing of its answer for too long.
-void HttpConnection::closed() { server_.close(*this); }
+// Called on the client's close, on an error, and if the client has not read its response within the write
+// timeout.
+void HttpConnection::on_closed() { server_.close(*this); }
 
 // ---- Incoming ----
 
@@ -317,7 +321,7 @@
   if (state_ == State::streaming) abort();
 }
 
-HttpConnection& Incoming::leave() {
+HttpConnection& Incoming::detach() {
   state_ = State::over;
   connection_->incoming_ = nullptr;
   return *connection_;
@@ -329,29 +333,31 @@
   HttpServer& server = connection_->server_;
   if (server.body_bytes_ + bytes > server.limits_.body_bytes) return false;
   server.body_bytes_ += bytes;
-  connection_->counted_ += bytes;
+  connection_->counted_body_bytes_ += bytes;
   return true;
 }
 
 void Incoming::answer(int status, const Headers& headers, std::string_view body) {
   if (state_ != State::pending) return;
-  HttpConnection& connection = leave();
+  HttpConnection& connection = detach();
   const bool none = status == 204;
-  connection.head(status, headers, none ? "" : "Content-Length: " + std::to_string(body.size()) + "\r\n");
-  if (!none && !connection.bodyless_) connection.write(body);
-  connection.answered();
+  connection.write_head(status, headers,
+                        none ? "" : "Content-Length: " + std::to_string(body.size()) + "\r\n");
+  if (!none && !connection.omit_body_) connection.write(body);
+  connection.response_complete();
 }
 
 void Incoming::begin(int status, const Headers& headers) {
   if (state_ != State::pending) return;
   state_ = State::streaming;
-  connection_->head(status, headers, connection_->chunked_ ? "Transfer-Encoding: chunked\r\n" : "");
+  connection_->write_head(status, headers, connection_->chunked_ ? "Transfer-Encoding: chunked\r\n" : "");
 }
 
 void Incoming::chunk(std::string_view bytes) {
   if (state_ != State::streaming || bytes.empty()) return;
-  // Guards memory: a client that does not read is cut off.
-  if (evbuffer_get_length(bufferevent_get_output(connection_->stream_.get())) > kMostUnread) return abort();
+  // Bounds memory: a client that does not read is disconnected.
+  if (evbuffer_get_length(bufferevent_get_output(connection_->stream_.get())) > kMaxUnsentBytes)
+    return abort();
   if (!connection_->chunked_) return connection_->write(bytes);
   char size[20];
   const int letters = std::snprintf(size, sizeof size, "%zx\r\n", bytes.size());
@@ -362,29 +368,30 @@
 
 bool Incoming::behind(const std::function<void()>& room) {
   if (state_ != State::streaming) return false;
-  if (evbuffer_get_length(bufferevent_get_output(connection_->stream_.get())) <= kMuchUnread) return false;
-  room_ = room;
+  if (evbuffer_get_length(bufferevent_get_output(connection_->stream_.get())) <= kBackpressureBytes)
+    return false;
+  on_drained_ = room;
   return true;
 }
 
 void Incoming::end() {
   if (state_ != State::streaming) return;
-  HttpConnection& connection = leave();
+  HttpConnection& connection = detach();
   if (connection.chunked_) connection.write("0\r\n\r\n");
-  connection.answered();
+  connection.response_complete();
 }
 
 void Incoming::abort() {
   if (state_ != State::streaming) return;
-  HttpConnection& connection = leave();
-  connection.last_ = true;
-  // Without chunks an ordinary end would look like a whole answer.
+  HttpConnection& connection = detach();
+  connection.close_after_response_ = true;
+  // Without chunked coding, a regular close would make the truncated body look complete.
   if (!connection.chunked_) {
-    connection.reset_ = true;
+    connection.reset_on_close_ = true;
     const linger reset{1, 0};
     setsockopt(bufferevent_getfd(connection.stream_.get()), SOL_SOCKET, SO_LINGER, &reset, sizeof reset);
   }
-  connection.answered();
+  connection.response_complete();
 }
 
 std::optional<core::Passed> Incoming::passed() const {
@@ -392,8 +399,8 @@
   bufferevent* stream = connection_->stream_.get();
   evbuffer* output = bufferevent_get_output(stream);
   const std::size_t size = evbuffer_get_length(output);
-  if (size > kMostPassed || !connection_->quiet()) return std::nullopt;
-  // Looked at, not copied out: a connection's output lets nobody but itself take from its front.
+  if (size > kMaxHandoverBytes || !connection_->has_no_unread_input()) return std::nullopt;
+  // Copied with evbuffer_peek, because only the bufferevent may remove data from the front of its output.
   std::vector<evbuffer_iovec> parts(std::size_t(std::max(0, evbuffer_peek(output, -1, nullptr, nullptr, 0))));
   evbuffer_peek(output, -1, nullptr, parts.data(), int(parts.size()));
   std::vector<std::uint8_t> unsent;
@@ -402,7 +409,7 @@
     unsent.insert(unsent.end(), begin, begin + part.iov_len);
   }
   const nlohmann::json state = {{"chunked", connection_->chunked_},
-                                {"last", connection_->last_},
+                                {"last", connection_->close_after_response_},
                                 {"unsent", nlohmann::json::binary(std::move(unsent))}};
   std::string text;
   nlohmann::json::to_cbor(state, text);
@@ -411,7 +418,7 @@
 
 void Incoming::let_go() {
   if (state_ != State::streaming) return;
-  HttpConnection& connection = leave();
+  HttpConnection& connection = detach();
   connection.server_.close(connection);
 }
 
@@ -428,18 +435,18 @@
   HttpConnection& connection = *owned;
   connections_.emplace(&connection, std::move(owned));
   const auto& unsent = state["unsent"].get_binary();
-  connection.go_on(state["chunked"], state["last"],
-                   {reinterpret_cast<const char*>(unsent.data()), unsent.size()});
+  connection.resume_stream(state["chunked"], state["last"],
+                           {reinterpret_cast<const char*>(unsent.data()), unsent.size()});
   auto incoming = std::make_unique<Incoming>(connection, RequestParser(limits_.most_body), "");
   incoming->state_ = Incoming::State::streaming;
   return incoming;
 }
 
-void Incoming::lost() {
-  const bool told = state_ != State::over;
-  leave();
-  const std::function<void()> gone = std::move(gone_);
-  if (told && gone) gone();  // last: it may destroy this
+void Incoming::on_connection_lost() {
+  const bool notify = state_ != State::over;
+  detach();
+  const std::function<void()> callback = std::move(on_gone_);
+  if (notify && callback) callback();  // last: it may destroy this object
 }
 
 }  // namespace bankmux::net
--- a/src/net/http/http_connection.hpp
+++ b/src/net/http/http_connection.hpp
@@ -1,4 +1,4 @@
-// One connection of a client: reads its requests one after the other and writes their answers.
+// One client connection: reads requests one after the other and writes their responses.
 #pragma once
 
 #include <memory>
@@ -10,8 +10,9 @@
 
 class HttpConnection {
  public:
-  // silent: nothing has come yet. idle: kept after an answer. reading: a request has come in part. answering:
-  // it is whole. ending: the last answer is on its way out, and what still comes in is thrown away.
+  // silent: new, nothing received yet. idle: kept alive after a response. reading: part of a request
+  // received. answering: request complete, response pending. ending: the last response is being written,
+  // further input is discarded.
   enum class Phase { silent, idle, reading, answering, ending };
 
   HttpConnection(HttpServer& server, evutil_socket_t socket);
@@ -20,49 +21,51 @@
   HttpConnection& operator=(const HttpConnection&) = delete;
 
   [[nodiscard]] Phase phase() const { return phase_; }
-  [[nodiscard]] core::Duration age(core::Time now) const { return now - since_; }
-  // Its time is up, by the phase that it is in.
-  [[nodiscard]] bool overdue(core::Time now) const;
-  // Bytes that nobody has read yet may be a request, which is still to be answered.
-  [[nodiscard]] bool quiet() const;
-  void time_out();
-  // Ends a connection on which no request is pending. What crosses this is not read, so that its client hears
-  // of a reset and sends it once more elsewhere: a request that was read would be lost.
-  void end_resting();
-  // Whether the client has closed its side, though the loop may not have told yet.
+  [[nodiscard]] core::Duration age(core::Time now) const { return now - phase_start_; }
+  // Whether the time limit of the current phase has passed.
+  [[nodiscard]] bool timed_out(core::Time now) const;
+  // Whether no input is buffered here or in the kernel. Unread bytes may be a request that must be answered.
+  [[nodiscard]] bool has_no_unread_input() const;
+  void on_timeout();
+  // Shuts down a connection without a pending request and reads nothing more. A request that arrives at the
+  // same moment stays unread, so that the client sees a reset and can safely send it elsewhere. If it were
+  // read, it would be lost.
+  void shut_down_unread();
+  // Whether the client has closed its sending side. Asks the kernel, as the loop may not have reported it
+  // yet.
   [[nodiscard]] bool client_closed() const;
-  // In the middle of a stream that another process began, of which the client has not been sent `unsent` yet.
-  void go_on(bool chunked, bool last, std::string_view unsent);
+  // Continues a response stream of another process; `unsent` is output that the client has not been sent yet.
+  void resume_stream(bool chunked, bool last, std::string_view unsent);
 
  private:
   friend class Incoming;
-  void read();
-  void drained();
-  void closed();
-  void request_done(bool whole = true);
-  void refuse(int status, Headers more = {});
-  void head(int status, const Headers& headers, const std::string& framing);
+  void on_readable();
+  void on_output_drained();
+  void on_closed();
+  void dispatch_request(bool whole = true);
+  void send_error(int status, Headers more = {});
+  void write_head(int status, const Headers& headers, const std::string& framing);
   void write(std::string_view bytes);
-  // After an answer: the next request, or the end.
-  void answered();
-  void finish();
-  void enter(Phase phase);
-  void give_back(std::size_t bytes);
+  // Called after each response: keeps the connection for the next request or closes it.
+  void response_complete();
+  void start_closing();
+  void enter_phase(Phase phase);
+  void release_body_bytes(std::size_t bytes);
 
   HttpServer& server_;
   BufferEventPtr stream_;
   RequestParser parser_;
   std::string body_;
-  std::size_t counted_ = 0;  // bytes of the body in the server's count
+  std::size_t counted_body_bytes_ = 0;  // body bytes included in HttpServer::body_bytes_
   Incoming* incoming_ = nullptr;
   Phase phase_ = Phase::silent;
-  core::Time since_;  // of the phase; reading counts from accept on a new connection
-  bool last_ = false;
-  bool chunked_ = false, bodyless_ = false;
-  bool reset_ = false;   // to be reset once what was given is out
-  bool unread_ = false;  // what still comes stays unread, see end_resting
-  std::size_t thrown_away_ = 0;
-  core::Time ended_{0};  // when it entered its last phase
+  core::Time phase_start_;  // start of the phase; for the first request, reading counts from accept
+  bool close_after_response_ = false;
+  bool chunked_ = false, omit_body_ = false;
+  bool reset_on_close_ = false;   // reset the connection once the output is written
+  bool reading_stopped_ = false;  // reading is disabled for good, see shut_down_unread
+  std::size_t discarded_bytes_ = 0;
+  core::Time closing_start_{0};  // when phase `ending` began
 };
 
 }  // namespace bankmux::net
--- a/src/net/http/http_reply.hpp
+++ b/src/net/http/http_reply.hpp
@@ -1,4 +1,5 @@
-// The core's ClientReply over HTTP. A front says how it words a refusal and a failure.
+// Implements core::ClientReply over HTTP. Front-specific subclasses override how refusals and failures are
+// worded.
 #pragma once
 
 #include <memory>
@@ -9,7 +10,7 @@
 
 namespace bankmux::net {
 
-// "1.25": seconds as Retry-After takes them.
+// Formats a duration for Retry-After, in seconds with three decimals.
 std::string retry_after(core::Duration stay_away);
 
 class HttpReply : public core::ClientReply {
--- a/src/net/http/http_server.cpp
+++ b/src/net/http/http_server.cpp
@@ -17,12 +17,13 @@
 
 namespace {
 
-constexpr core::Duration kLookEvery = 100ms;
-constexpr core::Duration kLookForRoom = 10ms;
-constexpr int kMostAcceptFailures = 1024;  // in a row of accepts; twice a listener's queue
-// When room is needed, in this order. A client may find its connection closed after 2 s without a request;
-// those who connect to ask do so at once, and whole.
-struct ForRoom {
+constexpr core::Duration kSweepInterval = 100ms;
+constexpr core::Duration kSweepIntervalWhenFull = 10ms;
+constexpr int kMaxAcceptFailures = 1024;  // consecutive failed accepts; twice a listener's backlog
+// Order in which connections are closed when room is needed, with the minimum time in the phase. An idle
+// connection may be closed after 2 s without a request; clients that connect for a request send it promptly
+// and completely.
+struct EvictionRule {
   Phase phase;
   core::Duration after;
 };
@@ -31,7 +32,7 @@
                                                          {Phase::reading, "reading"},
                                                          {Phase::answering, "answering"},
                                                          {Phase::ending, "ending"}};
-constexpr ForRoom kForRoom[] = {
+constexpr EvictionRule kEvictionOrder[] = {
     {Phase::ending, 100ms}, {Phase::idle, 2s}, {Phase::silent, 100ms}, {Phase::reading, 1s}};
 
 }  // namespace
@@ -53,14 +54,15 @@
   };
   const auto* address = std::get_if<std::string>(&place);
   listener_ = address != nullptr ? loop.listen(*address, accepted, this)
-                                 : loop.adopt(std::get<int>(place), accepted, this);
-  // Out of descriptors, libevent would try again without a pause: the listener rests until the next look.
+                                 : loop.listen_on(std::get<int>(place), accepted, this);
+  // Out of descriptors, libevent would retry without a pause, so the listener is disabled until the next
+  // sweep.
   evconnlistener_set_error_cb(listener_.get(), [](evconnlistener* listener, void*) {
     if (accept_error_is_transient(EVUTIL_SOCKET_ERROR())) return;
     log::write("server", "cannot accept a connection");
     evconnlistener_disable(listener);
   });
-  look();
+  sweep();
 }
 
 HttpServer::~HttpServer() = default;
@@ -68,49 +70,49 @@
 void HttpServer::accept(evutil_socket_t socket) {
   auto connection = std::make_unique<HttpConnection>(*this, socket);
   connections_.emplace(connection.get(), std::move(connection));
-  if (connections_.size() < limits_.connections || make_room()) return;
-  // The next one waits in the kernel's queue until there is room: closed at once it would be lost, and most
-  // of those that fill the room are gone soon.
-  log::write("server", "no room for more connections; held: " + census());
+  if (connections_.size() < limits_.connections || evict_connection()) return;
+  // The next connection waits in the kernel's backlog until there is room. Closing it at once would lose it,
+  // and most connections that fill the limit end soon.
+  log::write("server", "connection limit reached; connections by phase: " + count_by_phase());
   evconnlistener_disable(listener_.get());
-  look_again_ = loop_.at(loop_.now() + kLookForRoom, [this] { look(); });
+  sweep_timer_ = loop_.at(loop_.now() + kSweepIntervalWhenFull, [this] { sweep(); });
 }
 
-// Room for one more: the connection that has been idle for longest, else silent, else half way through its
-// request.
-bool HttpServer::make_room() {
+// Closes one connection to make room: the oldest in the first phase of kEvictionOrder that has a candidate.
+bool HttpServer::evict_connection() {
   const core::Time now = loop_.now();
-  HttpConnection* victim = nullptr;
-  std::size_t rank = std::size(kForRoom);
+  HttpConnection* candidate = nullptr;
+  std::size_t rank = std::size(kEvictionOrder);
   for (const auto& [connection, owner] : connections_) {
-    for (std::size_t i = 0; i < std::size(kForRoom) && i <= rank; ++i) {
-      if (connection->phase() != kForRoom[i].phase || connection->age(now) < kForRoom[i].after) continue;
-      // What lies unread is a request that is still to be answered.
-      const bool rests = kForRoom[i].phase == Phase::idle || kForRoom[i].phase == Phase::silent;
-      if (rests && !connection->quiet()) continue;
-      if (i == rank && connection->age(now) <= victim->age(now)) continue;
-      victim = connection;
+    for (std::size_t i = 0; i < std::size(kEvictionOrder) && i <= rank; ++i) {
+      if (connection->phase() != kEvictionOrder[i].phase || connection->age(now) < kEvictionOrder[i].after)
+        continue;
+      // Unread bytes may be a request that must be answered.
+      const bool is_idle = kEvictionOrder[i].phase == Phase::idle || kEvictionOrder[i].phase == Phase::silent;
+      if (is_idle && !connection->has_no_unread_input()) continue;
+      if (i == rank && connection->age(now) <= candidate->age(now)) continue;
+      candidate = connection;
       rank = i;
     }
   }
-  if (victim != nullptr) close(*victim);
-  return victim != nullptr;
+  if (candidate != nullptr) close(*candidate);
+  return candidate != nullptr;
 }
 
-// Ends what has taken too long.
-void HttpServer::look() {
+// Times out connections whose phase has lasted too long, and re-enables the listener when there is room.
+void HttpServer::sweep() {
   const core::Time now = loop_.now();
-  std::vector<HttpConnection*> overdue;
+  std::vector<HttpConnection*> timed_out;
   for (const auto& [connection, owner] : connections_) {
-    if (connection->overdue(now)) overdue.push_back(connection);
+    if (connection->timed_out(now)) timed_out.push_back(connection);
   }
-  for (HttpConnection* connection : overdue) connection->time_out();
-  const bool room = connections_.size() < limits_.connections || make_room();
+  for (HttpConnection* connection : timed_out) connection->on_timeout();
+  const bool room = connections_.size() < limits_.connections || evict_connection();
   if (room && listener_) evconnlistener_enable(listener_.get());
-  look_again_ = loop_.at(now + (room ? kLookEvery : kLookForRoom), [this] { look(); });
+  sweep_timer_ = loop_.at(now + (room ? kSweepInterval : kSweepIntervalWhenFull), [this] { sweep(); });
 }
 
-std::string HttpServer::census() const {
+std::string HttpServer::count_by_phase() const {
   std::map<Phase, int> count;
   for (const auto& [connection, owner] : connections_) ++count[connection->phase()];
   std::string text;
@@ -120,18 +122,17 @@
   return text;
 }
 
-// A connection that the kernel has taken for us already would be reset with the listener: a client that came
-// in the last moment gets its answer.
+// Connections in the kernel's backlog would be reset when the listener closes, so they are accepted first.
 bool HttpServer::stop_listening() {
-  if (listener_ && own_socket_ && !accept_waiting()) return false;
+  if (listener_ && own_socket_ && !accept_pending()) return false;
   listener_.reset();
   return true;
 }
 
-// Accepts until nothing waits. False where it had to leave some.
-bool HttpServer::accept_waiting() {
+// Accepts until the backlog is empty. False if connections had to be left there.
+bool HttpServer::accept_pending() {
   int failures = 0;
-  while (connections_.size() < limits_.connections && failures < kMostAcceptFailures) {
+  while (connections_.size() < limits_.connections && failures < kMaxAcceptFailures) {
     const int socket =
         accept4(evconnlistener_get_fd(listener_.get()), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
     if (socket >= 0) {
@@ -150,11 +151,11 @@
   const core::Time now = loop_.now();
   std::vector<HttpConnection*> idle;
   for (const auto& [connection, owner] : connections_) {
-    const bool rests = connection->phase() == Phase::idle ||
-                       (connection->phase() == Phase::silent && connection->age(now) >= silent);
-    if (rests && connection->quiet()) idle.push_back(connection);
+    const bool is_idle = connection->phase() == Phase::idle ||
+                         (connection->phase() == Phase::silent && connection->age(now) >= silent);
+    if (is_idle && connection->has_no_unread_input()) idle.push_back(connection);
   }
-  for (HttpConnection* connection : idle) connection->end_resting();
+  for (HttpConnection* connection : idle) connection->shut_down_unread();
 }
 
 void HttpServer::close(HttpConnection& connection) { connections_.erase(&connection); }
--- a/src/net/http/http_server.hpp
+++ b/src/net/http/http_server.hpp
@@ -1,6 +1,6 @@
-// The server side of HTTP for all fronts: one handler for all requests, answers whole or streamed, and word
-// at once when a client closes its connection while its answer is pending. On bufferevents, not evhttp: what
-// evhttp lets through and cannot bound is written down in docs/architecture.md.
+// HTTP/1.1 server for all fronts: a single handler for all requests, complete or streamed responses, and
+// immediate notice when a client closes its connection while its response is pending. Uses bufferevents
+// rather than evhttp, which accepts malformed requests and lacks limits; see docs/architecture.md.
 #pragma once
 
 #include <functional>
@@ -22,8 +22,8 @@
 class HttpServer;
 class HttpConnection;
 
-// One request of a client and the way to answer it. Destroyed unanswered, it answers 500; destroyed within a
-// stream, it breaks the stream off.
+// A client's request and the means to answer it. Destruction before an answer sends 500; destruction during a
+// stream breaks the stream off.
 class Incoming {
  public:
   Incoming(HttpConnection& connection, RequestParser head, std::string body);
@@ -32,95 +32,106 @@
   Incoming& operator=(const Incoming&) = delete;
 
   [[nodiscard]] const std::string& method() const { return head_.method(); }
-  [[nodiscard]] const std::string& target() const { return head_.target(); }  // as it came, query included
+  // As received, including the query.
+  [[nodiscard]] const std::string& target() const { return head_.target(); }
   [[nodiscard]] std::string path() const { return target().substr(0, target().find('?')); }
   [[nodiscard]] std::string header(const char* name) const { return std::string(head_.header(name)); }
   [[nodiscard]] const Headers& headers() const { return head_.headers(); }
   [[nodiscard]] std::string take_body() { return std::move(body_); }
 
-  // Whether the client has closed its connection, or its half of it, though the loop may not have told yet.
+  // Whether the client has closed its connection or its sending side. Asks the kernel, as the loop may not
+  // have reported it yet.
   [[nodiscard]] bool client_closed() const;
-  void on_gone(std::function<void()> gone) { gone_ = std::move(gone); }
-  // Counts more bytes held for this request until it is answered; false where all together would be too many.
+  // Sets a callback for the loss of the client's connection before the answer has ended.
+  void on_gone(std::function<void()> gone) { on_gone_ = std::move(gone); }
+  // Reserves further bytes for this request until it is answered; false if the server's total would exceed
+  // its limit.
   [[nodiscard]] bool hold(std::size_t bytes);
 
+  // Sends a complete response. Has no effect once a response has begun.
   void answer(int status, const Headers& headers, std::string_view body);
+  // Sends the head of a streamed response, which chunk() continues and end() or abort() ends.
   void begin(int status, const Headers& headers);
   void chunk(std::string_view bytes);
   void end();
-  // Ends a stream without its last chunk, once what was given is out.
+  // Ends a stream without its final chunk, after the output so far is written.
   void abort();
-  // More than enough of a stream waits for its client to read it; `room` is called once all of it is out.
+  // True if the client has too much unsent output; `room` is then called once all of it is written.
   [[nodiscard]] bool behind(const std::function<void()>& room);
 
-  // In the middle of a stream: the connection, and what HttpServer::take_over needs to go on with it. Nothing
-  // where more waits on it than is worth copying, or a further request has come.
+  // Within a stream: the client's descriptor and the state that HttpServer::take_over needs to continue it.
+  // Empty if there is too much unsent output, or if a further request has arrived.
   [[nodiscard]] std::optional<core::Passed> passed() const;
-  // Another process goes on with the stream: closes this process's hold on the connection, and no more.
+  // Closes this process's copy of the connection without ending the stream, which another process continues.
   void let_go();
 
  private:
   friend class HttpConnection;
   friend class HttpServer;
   enum class State { pending, streaming, over };
-  void lost();  // the client's connection is gone
-  // Detaches this from its connection.
-  HttpConnection& leave();
+  void on_connection_lost();  // called when the client's connection is gone
+  // Marks this as finished and detaches it from its connection.
+  HttpConnection& detach();
 
   HttpConnection* connection_;
   RequestParser head_;
   std::string body_;
-  std::function<void()> gone_, room_;
+  std::function<void()> on_gone_, on_drained_;
   State state_ = State::pending;
 };
 
+// Limits on the resources that clients can use.
 struct ServerLimits {
-  std::size_t connections = 300;
-  std::size_t body_bytes = 32 * 1024 * 1024;  // of all bodies that are held at once
-  std::size_t most_body = RequestParser::kMostBody;
-  // Bytes a second at which a body may come that takes longer than a request's usual time; 0: none may.
+  std::size_t connections = 300;                     // open at once
+  std::size_t body_bytes = 32 * 1024 * 1024;         // total of all request bodies held at once
+  std::size_t most_body = RequestParser::kMostBody;  // bytes of a single request body
+  // Minimum upload rate, in bytes per second, that earns a body more than the usual request time; 0: no extra
+  // time.
   std::size_t least_upload_rate = 0;
-  // What still comes after a last answer is read and forgotten, for a close with bytes unread would destroy
-  // the answer on its way. Bounded in bytes, in time while bytes come, and in bytes a second (0: not).
+  // After the last response on a connection, further input is read and discarded, because closing a socket
+  // with unread input would destroy the response in transit. Limits: total bytes, time while bytes keep
+  // arriving, and bytes per second (0: no limit).
   std::size_t most_thrown_away = 512 * 1024;
   core::Duration throw_away_for{0};
   std::size_t throw_away_rate = 0;
-  // Whatever is wrong with a request's form or size is 400: for callers that know yes and no alone.
+  // Answer 400 for every malformed or oversized request, for clients that do not distinguish error statuses.
   bool one_fault = false;
 };
 
-// What a front adds to the server's own answers. Either may be empty.
+// Extension points for a front. Either function may be empty.
 struct ServerHooks {
-  // Headers and body of an error answer that the server gives of itself.
+  // Headers and body for an error response generated by the server.
   std::function<std::pair<Headers, std::string>(int status)> error;
-  // Whether a request of this head is read: only then is `Expect: 100-continue` told to go on. One that is
-  // not goes to the handler with its head alone, and its connection closes after the answer.
+  // Whether to read the body of a request with this head, which decides on answering `Expect: 100-continue`.
+  // If not, the handler gets the request without a body, and the connection closes after the response.
   std::function<bool(const RequestParser& head)> wants;
 };
 
+// Accepts connections and passes each complete request to `handler`. Not thread-safe; runs on its loop.
 class HttpServer {
  public:
   using Handler = std::function<void(std::unique_ptr<Incoming>)>;
 
-  // Listens at once, at an address or on a descriptor that listens already; throws std::runtime_error where
-  // it cannot.
+  // Starts listening, at an address or on a descriptor that already listens. Throws std::runtime_error on
+  // failure.
   using Place = std::variant<std::string, int>;
   HttpServer(Loop& loop, const Place& place, Handler handler, ServerLimits limits, ServerHooks hooks = {});
   ~HttpServer();
   HttpServer(const HttpServer&) = delete;
   HttpServer& operator=(const HttpServer&) = delete;
 
-  // From now on each answer asks its client to close the connection.
+  // While on, every response asks the client to close the connection.
   void wind_down(bool on = true) { winding_down_ = on; }
-  // What waits to be accepted is accepted first; at a socket that was passed it is the next holder's. False
-  // where there was no room or no descriptor for all of it: it listens on, and is to be told again.
+  // Accepts what is waiting in the backlog, then closes the listener. Does not accept on an inherited socket,
+  // whose backlog is left to the next process. False if the limits or a lack of descriptors left connections
+  // in the backlog: the listener stays open, and the caller must try again.
   [[nodiscard]] bool stop_listening();
-  // A client's connection in the middle of a stream that another process began; takes the descriptor. Null
-  // where the state can't be read.
+  // Continues a client's response stream from another process; takes ownership of the descriptor. Null if the
+  // state is malformed.
   [[nodiscard]] std::unique_ptr<Incoming> take_over(const core::Passed& passed);
   [[nodiscard]] bool winding_down() const { return winding_down_; }
-  // Ends the connections on which no request is pending, those that have not brought any yet only once they
-  // are `silent` old.
+  // Closes connections without a pending request; those that never sent one only at an age of at least
+  // `silent`.
   void close_idle(core::Duration silent = core::Duration{0});
   [[nodiscard]] std::size_t connections() const { return connections_.size(); }
 
@@ -128,12 +139,14 @@
   friend class HttpConnection;
   friend class Incoming;
   void accept(evutil_socket_t socket);
-  [[nodiscard]] bool accept_waiting();
-  // So little room is left that no connection is kept beyond its answer.
-  [[nodiscard]] bool crowded() const { return connections_.size() * 4 > limits_.connections * 3; }
-  [[nodiscard]] std::string census() const;  // how many connections are in which phase
-  bool make_room();
-  void look();
+  [[nodiscard]] bool accept_pending();
+  // Above 3/4 of the limit, connections are not kept after their response.
+  [[nodiscard]] bool near_connection_limit() const {
+    return connections_.size() * 4 > limits_.connections * 3;
+  }
+  [[nodiscard]] std::string count_by_phase() const;  // number of connections in each phase, for the log
+  bool evict_connection();
+  void sweep();
   void close(HttpConnection& connection);
 
   Loop& loop_;
@@ -144,9 +157,9 @@
   bool own_socket_;
   bool winding_down_ = false;
   std::size_t body_bytes_ = 0;
-  std::map<HttpConnection*, std::unique_ptr<HttpConnection>> connections_;  // from accept on
+  std::map<HttpConnection*, std::unique_ptr<HttpConnection>> connections_;  // all connections, from accept on
   ListenerPtr listener_;
-  std::unique_ptr<core::Timer> look_again_;
+  std::unique_ptr<core::Timer> sweep_timer_;
 };
 
 }  // namespace bankmux::net
--- a/src/net/http/message_parser.hpp
+++ b/src/net/http/message_parser.hpp
@@ -1,6 +1,6 @@
-// Reads one HTTP/1.1 message from bytes as they come: start line, headers, then a body by length, in chunks
-// or to the connection's end. Strict, for what one reader takes for the end of a message and another does not
-// may hide a second message: nothing doubtful is guessed at, and nothing is kept beyond the limits.
+// Incremental HTTP/1.1 message parser: start line, headers, then a body framed by length, by chunks or by the
+// end of the connection. Strict, because parsers that disagree on the end of a message allow request
+// smuggling: ambiguous input is rejected, and memory use is bounded by the limits.
 #pragma once
 
 #include <cstdint>
@@ -20,71 +20,73 @@
 
   virtual ~MessageParser() = default;
 
-  // Takes bytes; what they hold of the body is appended to `body`. Returns how many were used; fewer than
-  // given only once done or bad.
+  // Consumes bytes and appends decoded body bytes to `body`. Returns the number of bytes consumed, which is
+  // less than given only once the state is done or bad.
   std::size_t feed(std::string_view bytes, std::string& body);
 
   [[nodiscard]] State state() const { return state_; }
-  // Some bytes of a head have come, and not all.
+  // Whether part of a head has been read, but not all of it.
   [[nodiscard]] bool within_head() const { return part_ == Part::headers || !line_.empty(); }
   [[nodiscard]] bool keep_alive() const { return keep_alive_; }
-  // The first header of that name, in any case; empty where there is none.
+  // Value of the first header with this name (case-insensitive); empty if there is none.
   [[nodiscard]] std::string_view header(std::string_view name) const;
   [[nodiscard]] const Headers& headers() const { return headers_; }
 
-  // Where a message in chunks has come to within its body: what another process needs to read on.
-  struct Place {
-    int part = 0;
-    std::uint64_t left = 0;  // of the chunk in hand
-    std::string line;        // begun and not ended
+  // Position within a chunked body: what another process needs to continue parsing.
+  struct BodyPosition {
+    int part = 0;                 // Part, as a number
+    std::uint64_t remaining = 0;  // bytes left in the current chunk
+    std::string line;             // incomplete line read so far
     bool keep_alive = false;
   };
-  // Nothing outside such a body.
-  [[nodiscard]] std::optional<Place> place() const;
+  // Empty unless the parser is within a chunked body.
+  [[nodiscard]] std::optional<BodyPosition> position() const;
 
  protected:
   struct Limits {
-    std::size_t head;      // all lines before the body, interim answers included
-    std::uint64_t chunk;   // one chunk's size
-    std::uint64_t length;  // a body's stated length
+    std::size_t head;      // all bytes before the body, including interim responses
+    std::uint64_t chunk;   // size of a single chunk
+    std::uint64_t length;  // Content-Length
   };
   enum class Part { start_line, headers, length, until_end, chunk_size, chunk, chunk_end, trailers };
 
   explicit MessageParser(Limits limits) : limits_(limits) {}
 
-  // Whether what has come of the first line can still become one. A peer that sends noise need not end it.
-  [[nodiscard]] virtual bool may_start(std::string_view part) const = 0;
+  // Whether the bytes of the first line so far can be the start of one. Rejects noise that never ends a line.
+  [[nodiscard]] virtual bool may_be_start_line(std::string_view part) const = 0;
   virtual bool start_line(std::string_view text) = 0;
-  // All headers are in: start_body() or skip_body(), or another start line by again().
+  // Called once all headers are read. Calls start_body(), skip_body() or, for an interim response,
+  // expect_start_line().
   virtual void headers_done() = 0;
 
-  // Reads on from there; false where it is no place within a body in chunks.
-  bool go_on(const Place& place);
-  void again() { part_ = Part::start_line; }
+  // Continues parsing at a position of another process; false if it is not within a chunked body.
+  bool resume_body(const BodyPosition& position);
+  void expect_start_line() { part_ = Part::start_line; }
   void skip_body() { state_ = State::done; }
-  // By the headers; `unsized` says what the lack of a length means.
-  void start_body(Part unsized);
+  // Selects the framing by the headers; `without_length` is used if they state none.
+  void start_body(Part without_length);
   void fail() { state_ = State::bad; }
-  [[nodiscard]] bool to_the_end() const { return state_ == State::body && part_ == Part::until_end; }
+  [[nodiscard]] bool reads_until_close() const { return state_ == State::body && part_ == Part::until_end; }
 
   bool keep_alive_ = true;
-  bool too_large_ = false;  // why it is bad
+  bool too_large_ = false;  // the reason for State::bad
   State state_ = State::head;
 
  private:
-  void line(std::string_view text);
-  void header_line(std::string_view text);
+  void process_line(std::string_view text);
+  void parse_header_line(std::string_view text);
 
   Limits limits_;
   Part part_ = Part::start_line;
   std::string line_;
   std::size_t head_bytes_ = 0;
-  std::uint64_t left_ = 0;
+  std::uint64_t remaining_ = 0;
   Headers headers_;
 };
 
+// Whether two header names are equal, ignoring case.
 bool same_name(std::string_view a, std::string_view b);
-// Whether a header that lists words, such as Connection, holds this one.
-bool lists(std::string_view value, std::string_view word);
+// Whether a comma-separated header value, such as that of Connection, contains this word.
+bool list_contains(std::string_view value, std::string_view word);
 
 }  // namespace bankmux::net
--- a/src/net/http/payload.hpp
+++ b/src/net/http/payload.hpp
@@ -1,4 +1,4 @@
-// A request as it came over the wire; the core hands it on without looking inside.
+// Request and response contents that the core forwards without interpreting them.
 #pragma once
 
 #include <string>
@@ -10,13 +10,13 @@
 namespace bankmux::core {
 
 struct Payload {
-  std::string id;  // names the request at the instances
+  std::string id;  // request identifier sent to the instances
   std::string method;
   std::string target;                                        // path and query
-  std::vector<std::pair<std::string, std::string>> headers;  // end to end ones, as they came
+  std::vector<std::pair<std::string, std::string>> headers;  // end-to-end headers as received
   std::string body;
-  std::string tenant;    // whose it is, for the log; empty: not known
-  bool streamed = true;  // the answer is a stream of events; else one whole object
+  std::string tenant;    // name for the log; empty if unknown
+  bool streamed = true;  // the answer is an event stream; otherwise a single JSON object
 };
 
 struct Answer {
--- a/src/net/http/response_parser.hpp
+++ b/src/net/http/response_parser.hpp
@@ -1,4 +1,4 @@
-// Reads one HTTP/1.1 response, past interim ones.
+// Incremental HTTP/1.1 response parser. Skips interim (1xx) responses.
 #pragma once
 
 #include "net/http/message_parser.hpp"
@@ -8,19 +8,20 @@
 class ResponseParser : public MessageParser {
  public:
   ResponseParser();
-  // The connection has ended: whether the response is whole by that.
-  bool finish();
-  // A stream (200, in chunks) that another process has read up to this place; false where it can't be.
-  bool go_on_with_stream(const Place& place) {
+  // To be called when the connection has ended. True if the response is complete.
+  bool finish_at_close();
+  // Continues a chunked 200 response that another process has parsed up to `position`; false if that is
+  // invalid.
+  bool resume_stream(const BodyPosition& position) {
     status_ = 200;
     has_head_ = true;
-    return go_on(place);
+    return resume_body(position);
   }
   [[nodiscard]] bool has_head() const { return has_head_; }
   [[nodiscard]] int status() const { return status_; }
 
  private:
-  [[nodiscard]] bool may_start(std::string_view part) const override;
+  [[nodiscard]] bool may_be_start_line(std::string_view part) const override;
   bool start_line(std::string_view text) override;
   void headers_done() override;
 
--- a/src/net/instances/instance_client.hpp
+++ b/src/net/instances/instance_client.hpp
@@ -1,4 +1,4 @@
-// The core's Instances over HTTP: attempts, places, releases and probes.
+// Implements core::Instances over HTTP: attempts, claims of decode instances, releases and probes.
 #pragma once
 
 #include <list>
@@ -11,8 +11,8 @@
 
 namespace bankmux::net {
 
-// The platform's instances, with their states and places; or boxes that speak the OpenAI-style API, public
-// parts of it alone.
+// platform: the platform's instances, which hold KV caches and take claims. openai: instances with the
+// OpenAI-style API, of which only the public parts are used.
 enum class Dialect { platform, openai };
 
 class InstanceClient : public core::Instances {
@@ -23,8 +23,8 @@
   std::unique_ptr<core::Attempt> start(const core::Target& target, const core::PayloadPtr& payload,
                                        core::Time not_after, core::ConnectionTerms terms,
                                        std::function<bool()> may_write, core::AttemptEvents& events) override;
-  // Goes on with an attempt in the middle of its stream, as another process passed it on; takes the
-  // descriptor. Null where the state can't be read.
+  // Continues an attempt that another process handed over within its stream; takes ownership of the
+  // descriptor. Null if the state is malformed.
   std::unique_ptr<core::Attempt> take_over(const std::string& address, const core::Passed& passed,
                                            core::AttemptEvents& events);
   void claim(const core::Target& target, const core::PayloadPtr& payload, std::function<bool()> may_write,
@@ -45,7 +45,7 @@
   Loop& loop_;
   InstancePool pool_;
   Dialect dialect_;
-  std::list<std::unique_ptr<Call>> calls_;  // claims, releases and probes that are out
+  std::list<std::unique_ptr<Call>> calls_;  // outstanding claims, releases and probes
 };
 
 }  // namespace bankmux::net
--- a/src/net/instances/instance_pool.cpp
+++ b/src/net/instances/instance_pool.cpp
@@ -18,32 +18,34 @@
 
 namespace {
 
-constexpr int kSendBuffer = 32 * 1024;
-// From a head's first byte to its last. Heads come whole; one that does not end would hold its request up to
-// the deadline.
-constexpr core::Duration kHeadTime{500'000};
-
-// Quarantine of a pooled connection after a response. An instance that answers twice does so within some
-// milliseconds, and a second answer, read after the next request has gone out there, would be taken for that
-// one's. After a stream it holds for all: another's events would reach the client. After any other answer it
-// holds for those alone that a stray word does harm: a late second refusal would prove that they never ran,
-// while they run. The rest follow at once, for new connections cost busy instances dear.
+constexpr int kSendBufferBytes = 32 * 1024;
+// From the first byte of a response head to its last. Heads normally arrive at once; without this limit, an
+// unfinished one would hold its request until the deadline.
+constexpr core::Duration kHeadTimeout{500'000};
+
+// Quarantine of a pooled connection after a response. An instance that answers twice does so within a few
+// milliseconds, and a duplicate read after the next request was sent would be taken for that request's
+// response. After a stream, the quarantine applies to every request, because another request's events would
+// reach the client. After other responses, it applies only to requests that a stray response could harm: a
+// duplicated refusal would falsely prove that they were not executed. Other requests may reuse the
+// connection at once, because new connections are expensive for busy instances.
 constexpr core::Duration kQuarantine = 50ms;
-// From an answer's head to its end where it is no stream: nobody waits for the rest of a refusal.
-constexpr core::Duration kRestTime{500'000};
+// From the head to the end of a response that is no stream: the body of a refusal is not worth waiting for.
+constexpr core::Duration kBodyTimeout{500'000};
 
-// Nothing unread and no end: what the server closed meanwhile must not get a request.
-bool still_quiet(bufferevent* connection) {
+// Whether the connection is open with nothing to read. One that the server has closed must not be reused.
+bool open_without_input(bufferevent* connection) {
   char byte = 0;
   const ssize_t got = recv(bufferevent_getfd(connection), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
   return got < 0 && (errno == EAGAIN || errno == EWOULDBLOCK);
 }
 
-// How far kept connections are trusted.
-constexpr double kKeptFade = 20e6;     // microseconds in which what was seen fades
-constexpr double kMostBroken = 0.1;    // share that breaks, up to which repeatable requests use them
-constexpr double kFirstGood = 10.0;    // requests taken to have gone well before anything was seen
-constexpr double kRestOfBroken = 0.1;  // of one break: after 46 s the others use them again
+// Limits for the reuse of idle connections.
+constexpr double kReuseDecayUs = 20e6;      // time constant, in microseconds, of the decay of the counts
+constexpr double kMaxFailureShare = 0.1;    // failure share up to which repeatable requests reuse connections
+constexpr double kInitialSuccesses = 10.0;  // assumed successes before anything was observed
+// Of one failure: 46 s after it, other requests reuse connections again.
+constexpr double kMaxRecentFailures = 0.1;
 
 }  // namespace
 
@@ -56,67 +58,67 @@
       head_(std::move(head)),
       body_(std::move(body)),
       events_(events) {
-  attempt_ = body_ != nullptr;
-  if (!terms.fresh && pool_.trusts_kept(terms.trouble_harmless)) {
+  is_attempt_ = body_ != nullptr;
+  if (!terms.fresh && pool_.may_reuse(terms.trouble_harmless)) {
     connection_ = pool_.take_idle(address_, terms.trouble_harmless);
   }
   reused_ = connection_ != nullptr;
   if (!reused_) connection_ = pool_.connect(address_);
   if (connection_ == nullptr || reused_) {
-    // Told from the loop, for nothing may call back from here.
-    limit_ = pool_.loop_.at(pool_.loop_.now(), [this] { reused_ ? connected() : end(false); });
+    // Deferred to the loop, because no event may come from within the constructor.
+    timeout_ = pool_.loop_.at(pool_.loop_.now(), [this] { reused_ ? on_connected() : finish(false); });
   } else {
-    limit_dial();
+    arm_connect_timeout();
   }
   if (connection_ == nullptr) return;
-  watch();
+  set_callbacks();
 }
 
 Exchange::Exchange(InstancePool& pool, std::string address, int descriptor,
-                   const ResponseParser::Place& place, Events& events)
+                   const ResponseParser::BodyPosition& position, Events& events)
     : pool_(pool),
       address_(std::move(address)),
       events_(events),
       connection_(bufferevent_socket_new(pool.loop_.base(), descriptor, BEV_OPT_CLOSE_ON_FREE)),
-      attempt_(true),
-      heard_(true),
+      is_attempt_(true),
+      response_started_(true),
       progress_(Progress::streaming) {
   if (!connection_) {
     evutil_closesocket(descriptor);
     throw std::runtime_error("no buffer for a connection");
   }
   ++pool_.open_;
-  if (!parser_.go_on_with_stream(place)) {
-    limit_ = pool_.loop_.at(pool_.loop_.now(), [this] { end(false); });
+  if (!parser_.resume_stream(position)) {
+    timeout_ = pool_.loop_.at(pool_.loop_.now(), [this] { finish(false); });
     return;
   }
-  watch();
+  set_callbacks();
   bufferevent_enable(connection_.get(), EV_READ | EV_WRITE);
 }
 
-int Exchange::passable() const {
-  if (connection_ == nullptr || progress_ != Progress::streaming || !parser_.place()) return -1;
+int Exchange::handover_descriptor() const {
+  if (connection_ == nullptr || progress_ != Progress::streaming || !parser_.position()) return -1;
   const bool empty = evbuffer_get_length(bufferevent_get_input(connection_.get())) == 0 &&
                      evbuffer_get_length(bufferevent_get_output(connection_.get())) == 0;
   return empty ? bufferevent_getfd(connection_.get()) : -1;
 }
 
-void Exchange::watch() {
+void Exchange::set_callbacks() {
   bufferevent_setcb(
       connection_.get(),
       [](bufferevent*, void* self) {
-        guarded("instance", [self] { static_cast<Exchange*>(self)->readable(); });
+        guarded("instance", [self] { static_cast<Exchange*>(self)->on_readable(); });
       },
       [](bufferevent*, void* self) {
-        guarded("instance", [self] { static_cast<Exchange*>(self)->written(); });
+        guarded("instance", [self] { static_cast<Exchange*>(self)->on_output_written(); });
       },
       [](bufferevent*, short what, void* self) {
         guarded("instance", [self, what] {
           auto* exchange = static_cast<Exchange*>(self);
           if (what & BEV_EVENT_CONNECTED) {
-            exchange->connected();
+            exchange->on_connected();
           } else {
-            exchange->closed();
+            exchange->on_closed();
           }
         });
       },
@@ -129,7 +131,7 @@
 }
 
 Progress Exchange::progress() const {
-  // The last byte may be out though its callback has not come yet.
+  // The last byte may be written although its callback has not run yet.
   if (progress_ == Progress::unwritten && connection_ != nullptr &&
       evbuffer_get_length(bufferevent_get_output(connection_.get())) == 0) {
     return Progress::written;
@@ -137,18 +139,18 @@
   return progress_;
 }
 
-// A loop that was held up hears of a limit before it hears of the connection that came up within it, for it
-// is told of a few dozen connections in one turn. What is up, or has failed, is told in the next.
-void Exchange::limit_dial() {
-  limit_ = pool_.loop_.at(pool_.loop_.now() + pool_.limits_.connect, [this] {
-    pollfd dialled{bufferevent_getfd(connection_.get()), POLLOUT, 0};
-    poll(&dialled, 1, 0) > 0 ? limit_dial() : end(false);
+// A delayed loop runs this timer before it reports a connection made in time, because it handles a few dozen
+// connections per iteration. If the socket is connected or has failed, the loop reports it in the next one.
+void Exchange::arm_connect_timeout() {
+  timeout_ = pool_.loop_.at(pool_.loop_.now() + pool_.limits_.connect, [this] {
+    pollfd connecting{bufferevent_getfd(connection_.get()), POLLOUT, 0};
+    poll(&connecting, 1, 0) > 0 ? arm_connect_timeout() : finish(false);
   });
 }
 
-void Exchange::connected() {
-  limit_.reset();
-  if (!events_.may_write()) return end(false);
+void Exchange::on_connected() {
+  timeout_.reset();
+  if (!events_.may_write()) return finish(false);
   progress_ = Progress::unwritten;
   bufferevent_enable(connection_.get(), EV_READ | EV_WRITE);
   const std::string head = std::exchange(head_, {})();
@@ -156,7 +158,7 @@
   if (body_ != nullptr && !body_->empty()) write_body();
 }
 
-// By reference: with bodies of megabytes a copy for each attempt would be the largest thing in memory.
+// Adds the body by reference: a copy of several megabytes for each attempt would dominate memory use.
 void Exchange::write_body() {
   using Owner = std::shared_ptr<const std::string>;
   const Owner& body = *new Owner(std::move(body_));
@@ -164,7 +166,7 @@
   evbuffer* output = bufferevent_get_output(connection_.get());
   if (evbuffer_add_reference(output, body->data(), body->size(), release, const_cast<Owner*>(&body)) != 0) {
     delete &body;
-    throw std::runtime_error("no room for a request's body");
+    throw std::runtime_error("cannot append the request body to the output buffer");
   }
 }
 
@@ -177,33 +179,34 @@
   }
 }
 
-void Exchange::written() {
+void Exchange::on_output_written() {
   if (progress_ != Progress::unwritten) return;
   progress_ = Progress::written;
   events_.on_written();
 }
 
-void Exchange::readable() {
+void Exchange::on_readable() {
   evbuffer* input = bufferevent_get_input(connection_.get());
   std::string bytes(evbuffer_get_length(input), '\0');
   evbuffer_remove(input, bytes.data(), bytes.size());
-  if (reused_ && !heard_) pool_.note_kept(true);
-  heard_ = true;
+  if (reused_ && !response_started_) pool_.record_reuse(true);
+  response_started_ = true;
   std::string body;
   const std::size_t used = parser_.feed(bytes, body);
-  if (parser_.state() == ResponseParser::State::bad) return end(false);
+  if (parser_.state() == ResponseParser::State::bad) return finish(false);
   const bool head = parser_.has_head();
   if (head ? parser_.status() != 200 : parser_.within_head()) {
-    if (!limit_ || (head && progress_ < Progress::head)) {
-      limit_ = pool_.loop_.at(pool_.loop_.now() + (head ? kRestTime : kHeadTime), [this] { end(false); });
+    if (!timeout_ || (head && progress_ < Progress::head)) {
+      timeout_ =
+          pool_.loop_.at(pool_.loop_.now() + (head ? kBodyTimeout : kHeadTimeout), [this] { finish(false); });
     }
   } else {
-    limit_.reset();
+    timeout_.reset();
   }
-  // An answer before the whole request: the rest of it must not be taken for the next one's.
+  // The response came before the whole request was sent. The rest must not be read as the next request.
   const bool early = progress() <= Progress::unwritten;
   if (parser_.has_head() && progress_ < Progress::head) {
-    if (!early) written();
+    if (!early) on_output_written();
     progress_ = Progress::head;
   }
   if (!body.empty()) {
@@ -215,24 +218,24 @@
     destroyed_ = nullptr;
   }
   if (parser_.state() != ResponseParser::State::done) return;
-  if (pool_.trusts_kept(true) && parser_.keep_alive() && used == bytes.size() && !early) {
-    pool_.keep(address_, std::move(connection_), attempt_ && parser_.status() == 200);
+  if (pool_.may_reuse(true) && parser_.keep_alive() && used == bytes.size() && !early) {
+    pool_.add_idle(address_, std::move(connection_), is_attempt_ && parser_.status() == 200);
   }
-  end(true);
+  finish(true);
 }
 
-void Exchange::closed() {
-  // What came together with the end is read first.
+void Exchange::on_closed() {
+  // Input that arrived together with the close is read first.
   if (connection_ != nullptr && evbuffer_get_length(bufferevent_get_input(connection_.get())) > 0) {
-    return readable();
+    return on_readable();
   }
-  if (reused_ && !heard_) pool_.note_kept(false);
+  if (reused_ && !response_started_) pool_.record_reuse(false);
   closed_here_ = false;
-  end(parser_.finish());
+  finish(parser_.finish_at_close());
 }
 
-// Last: the events may destroy this exchange.
-void Exchange::end(bool whole) {
+// Must be called last: the event handler may destroy this exchange.
+void Exchange::finish(bool whole) {
   if (whole) closed_here_ = false;
   progress_ = whole ? Progress::ended : progress();
   close();
@@ -240,7 +243,7 @@
 }
 
 void Exchange::close() {
-  limit_.reset();
+  timeout_.reset();
   if (connection_ == nullptr) return;
   connection_.reset();
   --pool_.open_;
@@ -250,21 +253,23 @@
 
 InstancePool::~InstancePool() = default;
 
-// A server may close a kept connection just as the next request is written, or something in between may reset
-// it: that request may have run. Where this happens, one that must not run twice takes a new connection, and
-// where it happens often all do, until what was seen has faded. New ones cost the instances work, so not
-// without need.
-bool InstancePool::trusts_kept(bool trouble_harmless) const {
-  const double fade = std::exp(-double((loop_.now() - kept_at_).count()) / kKeptFade);
-  const double bad = kept_bad_ * fade;
-  return trouble_harmless ? bad <= kMostBroken * (kept_good_ * fade + bad + kFirstGood) : bad < kRestOfBroken;
+// A server may close an idle connection just as the next request is written, or an intermediary may reset it,
+// and that request may have been executed. After such failures, requests that must not run twice use new
+// connections; after many, all requests do, until the counts have decayed. New connections cost the instances
+// work and are avoided otherwise.
+bool InstancePool::may_reuse(bool trouble_harmless) const {
+  const double decay = std::exp(-double((loop_.now() - reuse_updated_).count()) / kReuseDecayUs);
+  const double failures = reuse_failures_ * decay;
+  return trouble_harmless
+             ? failures <= kMaxFailureShare * (reuse_successes_ * decay + failures + kInitialSuccesses)
+             : failures < kMaxRecentFailures;
 }
 
-void InstancePool::note_kept(bool lived) {
-  const double fade = std::exp(-double((loop_.now() - kept_at_).count()) / kKeptFade);
-  kept_good_ = kept_good_ * fade + (lived ? 1.0 : 0.0);
-  kept_bad_ = kept_bad_ * fade + (lived ? 0.0 : 1.0);
-  kept_at_ = loop_.now();
+void InstancePool::record_reuse(bool success) {
+  const double decay = std::exp(-double((loop_.now() - reuse_updated_).count()) / kReuseDecayUs);
+  reuse_successes_ = reuse_successes_ * decay + (success ? 1.0 : 0.0);
+  reuse_failures_ = reuse_failures_ * decay + (success ? 0.0 : 1.0);
+  reuse_updated_ = loop_.now();
 }
 
 BufferEventPtr InstancePool::take_idle(const std::string& address, bool trouble_harmless) {
@@ -281,10 +286,10 @@
     BufferEventPtr connection = std::move(idle->connection);
     idle = list.erase(idle);
     bufferevent_set_timeouts(connection.get(), nullptr, nullptr);
-    // Taken back with them: a timeout that struck in this very turn of the loop, and would end the request.
+    // Also cancels an idle timeout that fired in this loop iteration and would end the request.
     bufferevent_disable(connection.get(), EV_READ);
     bufferevent_enable(connection.get(), EV_READ);
-    if (still_quiet(connection.get())) return connection;
+    if (open_without_input(connection.get())) return connection;
     --open_;
   }
   return nullptr;
@@ -294,7 +299,7 @@
   const auto to = config::Address::parse(address);
   if (!to) return nullptr;
   if (open_ >= limits_.connections) {
-    // Another instance's idle connection makes room; with none the attempt has no place.
+    // Closes an idle connection of another instance to make room; without one, the attempt fails.
     for (auto& [other, list] : idle_) {
       if (list.empty()) continue;
       list.pop_back();
@@ -314,31 +319,32 @@
   }
   const int on = 1;
   setsockopt(bufferevent_getfd(connection.get()), IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
-  // A long request must not lie whole in the kernel and count as written while the instance takes nothing.
-  setsockopt(bufferevent_getfd(connection.get()), SOL_SOCKET, SO_SNDBUF, &kSendBuffer, sizeof kSendBuffer);
+  // Keeps a long request from counting as written in the kernel's buffer while the instance reads nothing.
+  setsockopt(bufferevent_getfd(connection.get()), SOL_SOCKET, SO_SNDBUF, &kSendBufferBytes,
+             sizeof kSendBufferBytes);
   ++open_;
   return connection;
 }
 
-void InstancePool::keep(const std::string& address, BufferEventPtr connection, bool answered_stream) {
+void InstancePool::add_idle(const std::string& address, BufferEventPtr connection, bool answered_stream) {
   std::list<Idle>& list = idle_[address];
   Idle& idle = list.emplace_front(Idle{this, address, std::move(connection), loop_.now(), answered_stream});
   const auto us = limits_.idle.count();
   const timeval time{static_cast<time_t>(us / 1'000'000), static_cast<suseconds_t>(us % 1'000'000)};
   bufferevent_set_timeouts(idle.connection.get(), &time, nullptr);
   bufferevent_setcb(
-      idle.connection.get(), [](bufferevent*, void* self) { closed_idle(static_cast<Idle*>(self)); }, nullptr,
-      [](bufferevent*, short, void* self) { closed_idle(static_cast<Idle*>(self)); }, &idle);
+      idle.connection.get(), [](bufferevent*, void* self) { on_idle_event(static_cast<Idle*>(self)); },
+      nullptr, [](bufferevent*, short, void* self) { on_idle_event(static_cast<Idle*>(self)); }, &idle);
   bufferevent_enable(idle.connection.get(), EV_READ);
 }
 
-// Ended by the server, idle for too long, or sent something that nobody asked for.
-void InstancePool::closed_idle(Idle* idle) {
+// Called if the server closed the connection, if it was idle too long, or if unrequested bytes arrived.
+void InstancePool::on_idle_event(Idle* idle) {
   InstancePool& pool = *idle->pool;
   pool.open_ -= pool.idle_[idle->address].remove_if([idle](const Idle& other) { return &other == idle; });
 }
 
-void InstancePool::drop(const std::string& address) {
+void InstancePool::close_idle(const std::string& address) {
   const auto it = idle_.find(address);
   if (it == idle_.end()) return;
   open_ -= it->second.size();
--- a/src/net/instances/instance_pool.hpp
+++ b/src/net/instances/instance_pool.hpp
@@ -1,5 +1,5 @@
-// Connections to instances: opened as needed, kept while idle, never more than the bound. On bufferevents,
-// not evhttp's client: see docs/architecture.md for what was measured.
+// Pool of HTTP connections to instances: opened on demand, kept while idle, bounded in number. Uses
+// bufferevents rather than evhttp's client, for the measured reasons in docs/architecture.md.
 #pragma once
 
 #include <functional>
@@ -15,57 +15,61 @@
 namespace bankmux::net {
 
 struct PoolLimits {
-  core::Duration connect{250'000};
-  core::Duration idle{12'000'000};  // below the instances' own limit
-  std::size_t connections = 450;
+  core::Duration connect{250'000};  // time limit for a new connection
+  core::Duration idle{12'000'000};  // must be below the instances' own idle timeout
+  std::size_t connections = 450;    // open at once, idle ones included
 };
 
 class InstancePool;
 
-// One request and its response on one connection. Destroyed before its end, it closes the connection.
-// No event comes from within start(), and none after `on_end`, during which it may be destroyed.
+// One request and its response on one connection. Destroying it before its end closes the connection. No
+// event is raised from within the constructor, and none after `on_end`, during which it may be destroyed.
 class Exchange {
  public:
+  // Callbacks of an exchange. may_write() is asked once the connection is up; false ends the exchange before
+  // anything is written.
   struct Events {
     virtual ~Events() = default;
     virtual bool may_write() = 0;
     virtual void on_written() = 0;
-    virtual void on_body(std::string bytes) = 0;  // the head is in by then
+    virtual void on_body(std::string bytes) = 0;  // the response head is complete by then
     virtual void on_end(bool whole) = 0;
   };
 
-  // Words a request's head, or a whole request without a body; called once, before its first byte is written.
+  // Produces the request head, or a whole request without a body. Called once, before the first byte is
+  // written.
   using HeadWriter = std::function<std::string()>;
   // `body` is shared, not copied.
   Exchange(InstancePool& pool, std::string address, HeadWriter head, std::shared_ptr<const std::string> body,
            core::ConnectionTerms terms, Events& events);
-  // Goes on with one whose response another process has read so far; takes the descriptor.
-  Exchange(InstancePool& pool, std::string address, int descriptor, const ResponseParser::Place& place,
-           Events& events);
+  // Continues an exchange whose response another process has read up to `position`; takes ownership of the
+  // descriptor.
+  Exchange(InstancePool& pool, std::string address, int descriptor,
+           const ResponseParser::BodyPosition& position, Events& events);
   ~Exchange();
   Exchange(const Exchange&) = delete;
   Exchange& operator=(const Exchange&) = delete;
 
   [[nodiscard]] core::Progress progress() const;
-  // Stops reading from the connection, and goes on.
+  // Pauses (true) or resumes (false) reading from the connection.
   void pause(bool on);
   [[nodiscard]] const ResponseParser& response() const { return parser_; }
-  // Its end was this side's doing: neither a whole response nor the connection's end by the other side.
+  // Whether this side closed the connection: the response was incomplete and the other side had not closed.
   [[nodiscard]] bool closed_here() const { return closed_here_; }
-  // Its descriptor where it is within a streamed body and nothing read or written waits in this process; else
-  // -1.
-  [[nodiscard]] int passable() const;
+  // The descriptor, if the exchange is within a streamed body and no input or output is buffered here;
+  // otherwise -1.
+  [[nodiscard]] int handover_descriptor() const;
 
  private:
   friend class InstancePool;
-  void watch();
-  void limit_dial();
-  void connected();
+  void set_callbacks();
+  void arm_connect_timeout();
+  void on_connected();
   void write_body();
-  void written();
-  void readable();
-  void closed();
-  void end(bool whole);
+  void on_output_written();
+  void on_readable();
+  void on_closed();
+  void finish(bool whole);
   void close();
 
   InstancePool& pool_;
@@ -74,14 +78,14 @@
   std::shared_ptr<const std::string> body_;
   Events& events_;
   BufferEventPtr connection_;
-  std::unique_ptr<core::Timer> limit_;
+  std::unique_ptr<core::Timer> timeout_;
   ResponseParser parser_;
-  bool attempt_ = false;  // not a call without a body
+  bool is_attempt_ = false;  // false for a call without a body
   bool closed_here_ = true;
   bool reused_ = false;
-  bool heard_ = false;  // any byte of a response
+  bool response_started_ = false;  // some bytes of a response have arrived
   core::Progress progress_ = core::Progress::not_connected;
-  bool* destroyed_ = nullptr;  // set while an event is told that may destroy this
+  bool* destroyed_ = nullptr;  // set during an event whose handler may destroy this object
 };
 
 class InstancePool {
@@ -91,8 +95,8 @@
   InstancePool(const InstancePool&) = delete;
   InstancePool& operator=(const InstancePool&) = delete;
 
-  // Closes the idle connections there: that process is gone.
-  void drop(const std::string& address);
+  // Closes the idle connections to this address, for use after its process has ended.
+  void close_idle(const std::string& address);
   [[nodiscard]] std::size_t open() const { return open_; }
 
  private:
@@ -101,25 +105,27 @@
     InstancePool* pool = nullptr;
     std::string address;
     BufferEventPtr connection;
-    core::Time answered{0};        // when its last response was whole
-    bool answered_stream = false;  // and whether that was an attempt's 200
+    core::Time answered{0};        // when its last response was complete
+    bool answered_stream = false;  // whether that response was the 200 of an attempt
   };
 
-  // Whether kept connections have lately lived to their next answer, well enough for such a request.
-  [[nodiscard]] bool trusts_kept(bool trouble_harmless) const;
-  void note_kept(bool lived);
+  // Whether reused connections have been reliable enough lately. `trouble_harmless`: the request may run
+  // twice.
+  [[nodiscard]] bool may_reuse(bool trouble_harmless) const;
+  void record_reuse(bool success);
   BufferEventPtr take_idle(const std::string& address, bool trouble_harmless);
   BufferEventPtr connect(const std::string& address);
-  void keep(const std::string& address, BufferEventPtr connection, bool answered_stream);
-  static void closed_idle(Idle* idle);
+  void add_idle(const std::string& address, BufferEventPtr connection, bool answered_stream);
+  static void on_idle_event(Idle* idle);
 
   Loop& loop_;
   PoolLimits limits_;
-  // Requests on kept connections that were answered, and that broke unanswered; fading, as of `kept_at_`.
-  double kept_good_ = 0.0, kept_bad_ = 0.0;
-  core::Time kept_at_{0};
-  std::size_t open_ = 0;                         // idle ones too
-  std::map<std::string, std::list<Idle>> idle_;  // the latest used in front
+  // Decaying counts of requests on reused connections that were answered, and of those that failed without an
+  // answer, as of `reuse_updated_`.
+  double reuse_successes_ = 0.0, reuse_failures_ = 0.0;
+  core::Time reuse_updated_{0};
+  std::size_t open_ = 0;                         // including idle ones
+  std::map<std::string, std::list<Idle>> idle_;  // most recently used first
 };
 
 }  // namespace bankmux::net
--- a/src/net/platform/backoff.hpp
+++ b/src/net/platform/backoff.hpp
@@ -1,6 +1,6 @@
-// How long to wait before a call that has failed so many times in a row is made again: exponential backoff
-// with "equal jitter" (M. Brooker, "Exponential Backoff And Jitter", AWS Architecture Blog, 2015). Pure: the
-// caller draws `unit` in [0, 1) from a source of its own, so that processes started together spread apart.
+// Delay before retrying a call after consecutive failures: exponential backoff with "equal jitter" (M.
+// Brooker, "Exponential Backoff And Jitter", AWS Architecture Blog, 2015). Pure: the caller draws
+// `random_unit` in [0, 1) from its own generator, so that processes started together spread out.
 #pragma once
 
 #include "core/ports.hpp"
@@ -8,29 +8,29 @@
 namespace bankmux::net {
 
 struct Backoff {
-  core::Duration first;  // the ceiling after one failure
-  core::Duration most;   // the ceiling never passes this
+  core::Duration first;  // ceiling after one failure
+  core::Duration max;    // largest ceiling
 
-  // After `failures` in a row (0: none, no wait): between half the ceiling and the ceiling, which doubles
-  // with each failure from `first` up to `most`.
-  [[nodiscard]] core::Duration wait(int failures, double unit) const;
-  // The same with no wait longer than `limit`.
+  // Returns between half the ceiling and the ceiling after `failures` in a row; 0 for no failures. The
+  // ceiling doubles with each failure from `first` up to `max`.
+  [[nodiscard]] core::Duration wait(int failures, double random_unit) const;
+  // The same backoff with no wait longer than `limit`.
   [[nodiscard]] Backoff at_most(core::Duration limit) const;
 };
 
-// A change of the list counts as told 6 s after discovery had it and could be reached, whatever call failed.
-// So the longest wait has to leave time for the next call: after a refusal that may wait its turn for 2 s,
-// and after a call that was given up, its silence of 3 s has passed already.
-inline constexpr core::Duration kMostAfterRefusal{4'000'000};
-inline constexpr core::Duration kMostAfterSilence{2'500'000};
+// A list change must take effect within 6 s after discovery had it and could be reached, whichever call
+// failed. The longest wait must therefore leave time for the next call. After a refusal, that call may queue
+// for 2 s; after a call without an answer, 3 s of silence have already passed.
+inline constexpr core::Duration kMaxWaitAfterRefusal{4'000'000};
+inline constexpr core::Duration kMaxWaitAfterSilence{2'500'000};
 
-// The waits of one conductor among `conductors` that share one discovery. Its capacity is fixed, and calls
-// that it turns away cost it too, so that it stays overbooked while the fleet calls faster than it serves:
-// the ceilings grow with the fleet, as far as kMostAfterRefusal allows.
+// Backoff of one of `conductors` that share a discovery service. The service has a fixed capacity, which
+// refused calls use up too, so it stays overloaded while the fleet calls faster than it serves. The ceilings
+// therefore grow with the fleet, up to kMaxWaitAfterRefusal.
 [[nodiscard]] Backoff backoff_for(unsigned conductors);
 
-// Where discovery is an agent on the conductor's own machine, which answers at once and at no cost: what it
-// has counts as told from the moment it is back, so the next call is never far off.
-[[nodiscard]] Backoff backoff_at_hand();
+// Backoff for a discovery agent on the conductor's own machine, which answers at once and at no cost. Its
+// changes must take effect as soon as it is back, so the waits stay short.
+[[nodiscard]] Backoff local_agent_backoff();
 
 }  // namespace bankmux::net
--- a/src/net/platform/discovery_watch.hpp
+++ b/src/net/platform/discovery_watch.hpp
@@ -1,5 +1,6 @@
-// Keeps a watch on discovery open and hands its news on. The watch that breaks or falls silent is opened
-// anew, from the last version that was understood, after a wait that grows while calls fail (backoff.hpp).
+// Keeps a watch on discovery open, a streamed response with the list of instances and its changes, and passes
+// each update on. After a failure or a timeout it reopens the watch from the last valid version, with backoff
+// (backoff.hpp).
 #pragma once
 
 #include <functional>
@@ -16,42 +17,43 @@
 
 class DiscoveryWatch : public core::Discovery {
  public:
-  using News = std::function<void(core::FleetNews)>;
-  DiscoveryWatch(Loop& loop, const config::Config& config, News news);
+  using UpdateHandler = std::function<void(core::FleetNews)>;
+  DiscoveryWatch(Loop& loop, const config::Config& config, UpdateHandler on_update);
   ~DiscoveryWatch() override;
 
+  // Opens the watch, replacing any earlier one.
   void open();
-  // By how much what an agent has may come late here: it was silent, and a call from then has to be given up.
+  // Longest delay before an agent's change arrives here: a call made while it was silent must time out first.
   [[nodiscard]] static core::Duration most_late();
-  // Leaves the present address for this one and takes its whole list; the old list serves until it is there.
+  // Switches to another discovery address and requests its whole list. The old list stays in use until then.
   void move(const std::string& address);
   void subscribe() override {}  // the watch is always open
   void fetch() override;
 
  private:
-  void read(evhttp_request* request);
-  void line(const std::string& text);
-  void again(core::Duration wait);
-  void ended(evhttp_request* answer);
-  // `refused`: discovery has answered the call, with an error.
-  void failed(bool refused = false);
+  void on_data(evhttp_request* request);
+  void on_line(const std::string& text);
+  void schedule_reopen(core::Duration wait);
+  void on_closed(evhttp_request* answer);
+  // `refused`: discovery answered the call with an error status.
+  void on_failure(bool refused = false);
 
   Loop& loop_;
   const config::Config& config_;
   std::string address_;
-  News news_;
+  UpdateHandler on_update_;
   std::uint64_t version_;
-  bool whole_ = false;  // ask for the whole list
-  bool heard_ = false;  // the watch now open has brought a line, if only an empty one
-  int failures_ = 0;    // calls in a row that brought none
-  // It has refused a call, or must be asked for each list: one service of bounded capacity for many
-  // conductors. Until then it is taken for an agent on this machine.
-  bool shared_;
-  Backoff backoff_shared_;
-  std::mt19937_64 draw_;
+  bool full_list_needed_ = false;  // request the whole list rather than the changes
+  bool line_received_ = false;     // the current watch has received a line, possibly empty
+  int failures_ = 0;               // consecutive calls that brought no line
+  // Discovery is a service of limited capacity shared by many conductors: it has refused a call, or each list
+  // must be requested. Until then it is assumed to be an agent on this machine.
+  bool shared_service_;
+  Backoff shared_backoff_;
+  std::mt19937_64 random_;
   std::unique_ptr<evhttp_connection, Freed<evhttp_connection_free>> connection_;
-  ListSplitter pending_;
-  std::unique_ptr<core::Timer> retry_, silent_;
+  ListSplitter splitter_;
+  std::unique_ptr<core::Timer> reopen_timer_, response_timeout_;
 };
 
 }  // namespace bankmux::net
--- a/src/net/platform/list_splitter.cpp
+++ b/src/net/platform/list_splitter.cpp
@@ -7,19 +7,20 @@
 void ListSplitter::clear() { *this = ListSplitter{}; }
 
 void ListSplitter::feed(std::string_view bytes, const std::function<void(const std::string&)>& object) {
-  const auto hand_on = [&] {
+  const auto emit = [&] {
     const std::string text = std::exchange(text_, {});
     depth_ = 0;
     within_string_ = escaped_ = false;
     if (!text.empty()) object(text);
   };
   for (const char c : bytes) {
-    const bool begins = std::exchange(line_begins_, c == '\n');
-    // The lines of one object are indented; where one begins at the margin, that before it was cut short.
-    if (begins && c == '{' && depth_ > 0) hand_on();
+    const bool at_line_start = std::exchange(at_line_start_, c == '\n');
+    // Lines within an object are indented; a brace in the first column means that the object before it is
+    // truncated.
+    if (at_line_start && c == '{' && depth_ > 0) emit();
     if (c == '\n' || c == '\r') {
-      if (depth_ == 0) hand_on();
-      within_string_ = false;  // no string holds a line's end
+      if (depth_ == 0) emit();
+      within_string_ = false;  // JSON strings contain no line breaks
       continue;
     }
     text_ += c;
@@ -31,7 +32,7 @@
     } else if (c == '{') {
       ++depth_;
     } else if (c == '}' && depth_ > 0 && --depth_ == 0) {
-      hand_on();
+      emit();
     }
   }
 }
--- a/src/net/platform/list_splitter.hpp
+++ b/src/net/platform/list_splitter.hpp
@@ -1,4 +1,4 @@
-// Cuts what a watch brings into its JSON objects, one a line or spread over several. Pure.
+// Splits the byte stream of a watch into JSON objects, which may span several lines. Pure.
 #pragma once
 
 #include <functional>
@@ -9,17 +9,16 @@
 
 class ListSplitter {
  public:
-  // Hands on each object that is whole by now, and each line that can't belong to one, for the reader to
-  // refuse.
+  // Passes on each complete object, and each line that cannot belong to one, which the parser then rejects.
   void feed(std::string_view bytes, const std::function<void(const std::string&)>& object);
   void clear();
-  // Bytes of an object whose end has not come.
-  [[nodiscard]] std::size_t open() const { return text_.size(); }
+  // Size of the incomplete object so far.
+  [[nodiscard]] std::size_t pending_bytes() const { return text_.size(); }
 
  private:
   std::string text_;
   int depth_ = 0;
-  bool within_string_ = false, escaped_ = false, line_begins_ = true;
+  bool within_string_ = false, escaped_ = false, at_line_start_ = true;
 };
 
 }  // namespace bankmux::net
--- a/src/net/platform/management_page.cpp
+++ b/src/net/platform/management_page.cpp
@@ -40,37 +40,37 @@
 
 void ManagementPage::instance_call(Incoming& incoming, const std::string& path) const {
   const std::size_t slash = path.rfind('/');
-  const std::string word = path.substr(slash + 1);
-  if (slash <= kInstances.size() || (word != "disable" && word != "enable")) {
+  const std::string command = path.substr(slash + 1);
+  if (slash <= kInstances.size() || (command != "disable" && command != "enable")) {
     return incoming.answer(404, {}, "no such page\n");
   }
   if (incoming.method() != "POST") return incoming.answer(405, {{"Allow", "POST"}}, "POST only\n");
   const std::string id = path.substr(kInstances.size(), slash - kInstances.size());
   if (!operations::plain_id(id)) return incoming.answer(400, {}, "not an instance's id\n");
   if (!conductor_.fleet().knows(id)) return incoming.answer(404, {}, "no instance has that id\n");
-  if (!acts_.maintain(id, word == "disable")) {
+  if (!actions_.maintain(id, command == "disable")) {
     return incoming.answer(503, {}, "could not be written down; nothing has changed\n");
   }
-  incoming.answer(200, {}, word == "disable" ? "out of rotation\n" : "may serve again\n");
+  incoming.answer(200, {}, command == "disable" ? "out of rotation\n" : "may serve again\n");
 }
 
 void ManagementPage::handle(std::unique_ptr<Incoming> incoming) const {
   const std::string path = incoming->path();
   if (path.starts_with(kInstances)) return instance_call(*incoming, path);
-  const bool acts = path == "/-/drain" || path == "/-/resume";
-  if (!acts && path != "/-/ready" && path != "/-/metrics") {
+  const bool is_command = path == "/-/drain" || path == "/-/resume";
+  if (!is_command && path != "/-/ready" && path != "/-/metrics") {
     return incoming->answer(404, {}, "no such page\n");
   }
-  const std::string method = acts ? "POST" : "GET";
+  const std::string method = is_command ? "POST" : "GET";
   if (incoming->method() != method) {
     return incoming->answer(405, {{"Allow", method}}, method + " only\n");
   }
   if (path == "/-/ready") {
-    const bool ready = acts_.ready();
+    const bool ready = actions_.ready();
     return incoming->answer(ready ? 200 : 503, {}, ready ? "ready\n" : "takes no clients\n");
   }
   if (path == "/-/metrics") return incoming->answer(200, {{"Content-Type", "text/plain"}}, metrics());
-  acts_.drain(path == "/-/drain");
+  actions_.drain(path == "/-/drain");
   incoming->answer(200, {}, path == "/-/drain" ? "draining\n" : "takes clients\n");
 }
 
--- a/src/net/platform/management_page.hpp
+++ b/src/net/platform/management_page.hpp
@@ -1,5 +1,5 @@
-// The platform's second address: readiness, figures, instances out and back, drain and resume. It words the
-// calls; what they do is handed in.
+// Management address of the platform: readiness, metrics, maintenance of single instances, drain and resume.
+// Parses and answers the calls; the actions are passed in.
 #pragma once
 
 #include <functional>
@@ -14,15 +14,16 @@
 
 class ManagementPage {
  public:
-  struct Acts {
-    std::function<bool()> ready;  // whether this process takes clients
+  struct Actions {
+    std::function<bool()> ready;  // whether this process accepts clients
     std::function<void(bool drain)> drain;
-    // Out for maintenance, or back; once it returns true it is in force. False: it could not be made so.
+    // Takes an instance out of rotation (true) or returns it. True once the change is in force; false if it
+    // could not be stored.
     std::function<bool(const std::string& id, bool out)> maintain;
   };
 
-  ManagementPage(const core::Conductor& conductor, std::vector<std::string> classes, Acts acts)
-      : conductor_(conductor), classes_(std::move(classes)), acts_(std::move(acts)) {}
+  ManagementPage(const core::Conductor& conductor, std::vector<std::string> classes, Actions actions)
+      : conductor_(conductor), classes_(std::move(classes)), actions_(std::move(actions)) {}
 
   void handle(std::unique_ptr<Incoming> incoming) const;
 
@@ -32,7 +33,7 @@
 
   const core::Conductor& conductor_;
   std::vector<std::string> classes_;
-  Acts acts_;
+  Actions actions_;
 };
 
 }  // namespace bankmux::net
--- a/src/net/platform/platform_front.cpp
+++ b/src/net/platform/platform_front.cpp
@@ -15,45 +15,45 @@
 
 namespace {
 
-constexpr std::size_t kMostName = 128;
-constexpr std::int64_t kMostMs = 3'600'000;
-constexpr std::int64_t kMostTokens = 100'000'000;
+constexpr std::size_t kMaxValueLength = 128;
+constexpr std::int64_t kMaxRemainingMs = 3'600'000;
+constexpr std::int64_t kMaxTokens = 100'000'000;
 
-// A header that is not as PROTOCOL says; names it.
+// A header that violates the protocol; `what` names it.
 struct BadHeader {
   std::string what;
 };
 
-std::int64_t whole(std::string_view text, std::int64_t most, const std::string& name) {
+std::int64_t parse_integer(std::string_view text, std::int64_t max, const std::string& name) {
   std::int64_t value = 0;
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
-  if (text.empty() || error != std::errc{} || end != text.data() + text.size() || value < 0 || value > most) {
+  if (text.empty() || error != std::errc{} || end != text.data() + text.size() || value < 0 || value > max) {
     throw BadHeader{name + " is not a whole number in range"};
   }
   return value;
 }
 
-std::string needed(const Incoming& incoming, const char* name) {
+std::string required_header(const Incoming& incoming, const char* name) {
   std::string value = incoming.header(name);
   const auto count =
       std::ranges::count_if(incoming.headers(), [name](const auto& h) { return same_name(h.first, name); });
   if (count > 1) throw BadHeader{std::string(name) + " is there more than once"};
   if (value.empty()) throw BadHeader{std::string(name) + " is missing"};
-  if (value.size() > kMostName) throw BadHeader{std::string(name) + " is too long"};
+  if (value.size() > kMaxValueLength) throw BadHeader{std::string(name) + " is too long"};
   return value;
 }
 
-// It becomes part of a path at the instances.
-std::string request_name(const Incoming& incoming) {
-  std::string value = needed(incoming, "X-Txn");
-  const bool plain = std::ranges::all_of(
+// The id becomes part of a path at the instances.
+std::string request_id(const Incoming& incoming) {
+  std::string value = required_header(incoming, "X-Txn");
+  const bool valid = std::ranges::all_of(
       value, [](unsigned char c) { return std::isalnum(c) || c == '-' || c == '_' || c == '.'; });
-  if (!plain) throw BadHeader{"X-Txn holds other than letters, digits, '-', '_' and '.'"};
+  if (!valid) throw BadHeader{"X-Txn holds other than letters, digits, '-', '_' and '.'"};
   return value;
 }
 
-void read_labels(std::string_view labels, eiderarch::RequestArrived& facts) {
-  bool prompt = false;
+void parse_labels(std::string_view labels, eiderarch::RequestArrived& facts) {
+  bool prompt_length_seen = false;
   while (!labels.empty()) {
     const std::string_view item = labels.substr(0, labels.find(','));
     labels.remove_prefix(std::min(item.size() + 1, labels.size()));
@@ -64,34 +64,35 @@
     if (name == "prefix") {
       facts.prefix = eiderarch::wire::key_of(std::string(value));
     } else if (name == "prompt_len") {
-      facts.prompt_tokens = whole(value, kMostTokens, "X-Labels: prompt_len");
-      prompt = true;
+      facts.prompt_tokens = parse_integer(value, kMaxTokens, "X-Labels: prompt_len");
+      prompt_length_seen = true;
     } else if (name == "prefix_len") {
-      facts.prefix_tokens = whole(value, kMostTokens, "X-Labels: prefix_len");
+      facts.prefix_tokens = parse_integer(value, kMaxTokens, "X-Labels: prefix_len");
     } else if (name == "max_out") {
-      facts.max_output = whole(value, kMostTokens, "X-Labels: max_out");
+      facts.max_output = parse_integer(value, kMaxTokens, "X-Labels: max_out");
     }
   }
-  if (!prompt) throw BadHeader{"X-Labels lacks prompt_len"};
+  if (!prompt_length_seen) throw BadHeader{"X-Labels lacks prompt_len"};
 }
 
-core::Ask read_ask(Incoming& incoming, core::Time now, const std::vector<std::string>& classes,
-                   const std::vector<std::string>& tenants) {
+core::Ask parse_request(Incoming& incoming, core::Time now, const std::vector<std::string>& classes,
+                        const std::vector<std::string>& tenants) {
   core::Ask ask;
   auto payload = std::make_shared<core::Payload>();
-  payload->id = ask.name = request_name(incoming);
-  const std::string lane = needed(incoming, "X-Lane");
-  const auto cls = std::ranges::find(classes, lane);
-  if (cls == classes.end()) throw BadHeader{"X-Lane names no class: '" + lane + "'"};
-  ask.facts.request_class = std::uint32_t(cls - classes.begin());
-  // Whose request it is, where the settings have tenants; one that they don't name has no share.
+  payload->id = ask.name = request_id(incoming);
+  const std::string lane = required_header(incoming, "X-Lane");
+  const auto class_at = std::ranges::find(classes, lane);
+  if (class_at == classes.end()) throw BadHeader{"X-Lane names no class: '" + lane + "'"};
+  ask.facts.request_class = std::uint32_t(class_at - classes.begin());
+  // The tenant, if the settings have any; a name they do not contain maps to an index without a share.
   const std::string tenant = incoming.header("X-Org");
-  if (tenant.size() > kMostName) throw BadHeader{"X-Org is too long"};
+  if (tenant.size() > kMaxValueLength) throw BadHeader{"X-Org is too long"};
   ask.facts.tenant = std::uint32_t(std::ranges::find(tenants, tenant) - tenants.begin());
-  ask.facts.session = eiderarch::wire::key_of(needed(incoming, "X-Entity"));
-  const auto wait = whole(needed(incoming, "X-Remaining-Ms"), kMostMs, "X-Remaining-Ms");
-  ask.facts.deadline = now + std::chrono::milliseconds(wait);
-  read_labels(incoming.header("X-Labels"), ask.facts);
+  ask.facts.session = eiderarch::wire::key_of(required_header(incoming, "X-Entity"));
+  const auto remaining_ms =
+      parse_integer(required_header(incoming, "X-Remaining-Ms"), kMaxRemainingMs, "X-Remaining-Ms");
+  ask.facts.deadline = now + std::chrono::milliseconds(remaining_ms);
+  parse_labels(incoming.header("X-Labels"), ask.facts);
   const std::string resent = incoming.header("X-Resent");
   ask.facts.client_retry = resent == "1";
   ask.facts.resumed = resent == "again";
@@ -103,18 +104,18 @@
   return ask;
 }
 
-// Its name is free again once the request has had its final answer.
+// Frees the request's id once the final answer is sent.
 class PlatformReply : public HttpReply {
  public:
-  PlatformReply(std::unique_ptr<Incoming> incoming, PlatformFront::Names open, std::string name)
-      : HttpReply(std::move(incoming)), open_(std::move(open)), name_(std::move(name)) {}
-  ~PlatformReply() override { open_->erase(name_); }
-  // Its bytes are all that a stream of the platform's needs to go on.
+  PlatformReply(std::unique_ptr<Incoming> incoming, PlatformFront::OpenIds open, std::string name)
+      : HttpReply(std::move(incoming)), open_ids_(std::move(open)), name_(std::move(name)) {}
+  ~PlatformReply() override { open_ids_->erase(name_); }
+  // A stream of the platform protocol needs no state but its bytes to be continued.
   [[nodiscard]] std::optional<core::Passed> passed() const override { return incoming_->passed(); }
   void let_go() override { incoming_->let_go(); }
 
  private:
-  PlatformFront::Names open_;
+  PlatformFront::OpenIds open_ids_;
   std::string name_;
 };
 
@@ -130,26 +131,26 @@
     incoming->answer(404, {}, "no such page\n");
     return;
   }
-  if (incoming->method() == "HEAD") {  // its answer's length would not be that of what follows
+  if (incoming->method() == "HEAD") {  // the length of its answer would differ from that of a GET
     incoming->answer(405, {}, "");
     return;
   }
   core::Ask ask;
   try {
-    ask = read_ask(*incoming, scheduler_.now(), classes_, tenants_);
+    ask = parse_request(*incoming, scheduler_.now(), classes_, tenants_);
   } catch (const BadHeader& bad) {
     incoming->answer(400, {}, bad.what + "\n");
     return;
   }
-  // One name for two requests: what lets go of the one's state, or ends it, would hit the other.
+  // Two requests with the same id would share state at the instances: releasing one's would affect the other.
   const std::string name = ask.payload->id;
-  if (!open_->insert(name).second) {
+  if (!open_ids_->insert(name).second) {
     incoming->answer(409, {}, "a request with this X-Txn is open\n");
     return;
   }
   Incoming& client = *incoming;
   const core::RequestId id =
-      conductor_.take(std::move(ask), std::make_unique<PlatformReply>(std::move(incoming), open_, name));
+      conductor_.take(std::move(ask), std::make_unique<PlatformReply>(std::move(incoming), open_ids_, name));
   if (id != 0) client.on_gone([this, id] { conductor_.client_gone(id); });
 }
 
@@ -157,18 +158,19 @@
                               const core::Conductor::MakeAttempt& make) {
   std::unique_ptr<Incoming> incoming = clients.take_over(stream.client);
   if (incoming == nullptr || stream.ask.facts.request_class >= classes_.size() ||
-      !open_->insert(name).second) {
-    // Nobody has made anything of the instance's connection yet, so this closes it too.
+      !open_ids_->insert(name).second) {
+    // Nothing else owns the instance's descriptor yet, so it is closed here.
     (void)close(stream.instance.descriptor);
     return;
   }
   auto payload = std::make_shared<core::Payload>();
   payload->id = stream.ask.name = name;
   stream.ask.payload = std::move(payload);
-  // Told first: where its attempt can't be made, the request is over before its id is known here.
+  // Registered first: if the attempt cannot be created, the request ends before its id is known here.
   auto id = std::make_shared<core::RequestId>(0);
   incoming->on_gone([this, id] { conductor_.client_gone(*id); });
-  *id = conductor_.take_over(stream, std::make_unique<PlatformReply>(std::move(incoming), open_, name), make);
+  *id = conductor_.take_over(stream, std::make_unique<PlatformReply>(std::move(incoming), open_ids_, name),
+                             make);
 }
 
 }  // namespace bankmux::net
--- a/src/net/platform/platform_front.hpp
+++ b/src/net/platform/platform_front.hpp
@@ -1,4 +1,4 @@
-// The platform's protocol between clients and this conductor: its headers to the core's terms and back.
+// Front for the platform protocol: translates client requests to core::Ask, and replies back to HTTP.
 #pragma once
 
 #include <memory>
@@ -13,7 +13,7 @@
 
 class PlatformFront {
  public:
-  using Names = std::shared_ptr<std::set<std::string>>;
+  using OpenIds = std::shared_ptr<std::set<std::string>>;
 
   PlatformFront(core::Conductor& conductor, core::Scheduler& scheduler, std::vector<std::string> classes,
                 std::vector<std::string> tenants)
@@ -23,17 +23,18 @@
         tenants_(std::move(tenants)) {}
 
   void handle(std::unique_ptr<Incoming> incoming);
-  // Goes on with a stream that another process of this conductor began, by the request's name; takes both
-  // descriptors. Where the client's side can't be read, or that name is open here, both are closed.
+  // Continues a stream that another process of this conductor began, under the request's id; takes ownership
+  // of both descriptors. Closes both if the client state is malformed or the id is already open here.
   void take_over(const std::string& name, core::RunningStream stream, HttpServer& clients,
                  const core::Conductor::MakeAttempt& make);
+  // Answer of the readiness check on the client address.
   void set_ready(bool ready) { ready_ = ready; }
 
  private:
   core::Conductor& conductor_;
   core::Scheduler& scheduler_;
   std::vector<std::string> classes_, tenants_;
-  Names open_ = std::make_shared<std::set<std::string>>();  // of the requests that are open
+  OpenIds open_ids_ = std::make_shared<std::set<std::string>>();  // ids of the open requests
   bool ready_ = true;
 };
 
--- a/tests/handover_test.cpp
+++ b/tests/handover_test.cpp
@@ -1,4 +1,4 @@
-// Streams that pass from one process of a conductor to the next: the message, and the core's part.
+// Handover of streams from one conductor process to its successor: the message format and the core's part.
 #include <rapidcheck.h>
 #include <unistd.h>
 
@@ -19,7 +19,7 @@
 
 namespace {
 
-core::RunningStream drawn_stream() {
+core::RunningStream random_stream() {
   core::RunningStream stream;
   stream.ask.facts.request_class = *rc::gen::inRange<std::uint32_t>(0, 50);
   stream.ask.facts.tenant = *rc::gen::inRange<std::uint32_t>(0, 50);
@@ -35,9 +35,9 @@
 
 }  // namespace
 
-TEST_CASE("A passed stream reads back as it was written, and what is spoilt or cut is no stream") {
+TEST_CASE("A handover message decodes to the encoded stream, and a truncated or corrupted one is rejected") {
   CHECK(rc::check("encode, decode", [] {
-    const core::RunningStream stream = drawn_stream();
+    const core::RunningStream stream = random_stream();
     const std::string message = operations::encode("r-1", stream);
     const auto back = operations::decode_stream(message);
     RC_ASSERT(back.has_value());
@@ -53,10 +53,10 @@
     RC_ASSERT(back->stream.instance.state == stream.instance.state);
   }));
   CHECK(rc::check("spoilt", [] {
-    std::string message = operations::encode("r-1", drawn_stream());
+    std::string message = operations::encode("r-1", random_stream());
     const std::size_t cut = *rc::gen::inRange<std::size_t>(0, message.size());
     RC_ASSERT(!operations::decode_stream(message.substr(0, cut)));
-    // Whatever one byte becomes, what is read is in its ranges.
+    // With any single byte changed, a message that still decodes has all values in range.
     message[cut] = char(*rc::gen::arbitrary<unsigned char>());
     if (const auto read = operations::decode_stream(message)) {
       RC_ASSERT(read->stream.attempts >= 1);
@@ -70,7 +70,7 @@
   CHECK(operations::encode("r-1", large).empty());
 }
 
-TEST_CASE("A response that is read on from any byte of its body ends as if it had been read by one") {
+TEST_CASE("A response resumed at any byte of its body ends as if a single parser had read it") {
   const std::string head =
       "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n";
   const std::string body =
@@ -78,32 +78,33 @@
   for (std::size_t at = 0; at < body.size(); ++at) {
     INFO("from byte " << at);
     net::ResponseParser first, second;
-    sse::StreamScanner looked;
+    sse::StreamScanner first_scanner;
     std::string seen;
     first.feed(head + body.substr(0, at), seen);
-    looked.feed(seen);
-    const auto place = first.place();
-    REQUIRE(place.has_value());
-    REQUIRE(second.go_on_with_stream(*place));
-    sse::StreamScanner looks_on(looked.open());
+    first_scanner.feed(seen);
+    const auto position = first.position();
+    REQUIRE(position.has_value());
+    REQUIRE(second.resume_stream(*position));
+    sse::StreamScanner second_scanner(first_scanner.open());
     std::string rest;
     CHECK(second.feed(body.substr(at), rest) == body.size() - at);
-    looks_on.feed(rest);
+    second_scanner.feed(rest);
     CHECK(second.state() == net::ResponseParser::State::done);
     CHECK(second.keep_alive());
-    CHECK(looks_on.failed());
+    CHECK(second_scanner.failed());
     CHECK((seen + rest).size() == 10 + 28);
   }
   net::ResponseParser whole;
   std::string seen;
   whole.feed(head + body, seen);
-  CHECK_FALSE(whole.place().has_value());
-  CHECK_FALSE(net::ResponseParser().go_on_with_stream({0, 0, "", true}));
-  CHECK_FALSE(net::ResponseParser().go_on_with_stream({99, 0, "", true}));
+  CHECK_FALSE(whole.position().has_value());
+  CHECK_FALSE(net::ResponseParser().resume_stream({0, 0, "", true}));
+  CHECK_FALSE(net::ResponseParser().resume_stream({99, 0, "", true}));
 }
 
-// Copied out, the answer's head came as zeros, and its client could read nothing of it.
-TEST_CASE("What a client has not been sent yet goes with its connection, head and all") {
+// Guards against a handover that copied the unsent output wrongly: the response head arrived as zeros, and
+// the client could not read the answer.
+TEST_CASE("Unsent output of a client is handed over with its connection, response head included") {
   net::Loop loop;
   std::unique_ptr<net::Incoming> taken_over;
   net::HttpServer next(loop, stories::own_address(), [](std::unique_ptr<net::Incoming>) {}, {});
@@ -127,7 +128,7 @@
   client->send("POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n");
   loop.run();
   const auto enough = loop.at(loop.now() + 100ms, [&loop] { loop.stop(); });
-  loop.run();  // in which what waits goes out
+  loop.run();  // flushes pending output
   const std::string answer = client->receive_until("0\r\n\r\n");
   CHECK(answer.starts_with("HTTP/1.1 200 OK\r\n"));
   CHECK(answer.find("9\r\ndata: 1\n\n\r\n9\r\ndata: 2\n\n\r\n0\r\n\r\n") != std::string::npos);
@@ -140,21 +141,21 @@
 
 using Log = std::vector<std::string>;
 
-struct Stream : core::Attempt {
+struct FakeAttempt : core::Attempt {
   Log& log;
   core::AttemptEvents& events;
-  bool may;
-  Stream(Log& l, core::AttemptEvents& e, bool passable) : log(l), events(e), may(passable) {}
-  ~Stream() override { log.emplace_back("close"); }
+  bool can_pass;
+  FakeAttempt(Log& l, core::AttemptEvents& e, bool passable) : log(l), events(e), can_pass(passable) {}
+  ~FakeAttempt() override { log.emplace_back("close"); }
   [[nodiscard]] core::Progress progress() const override { return core::Progress::streaming; }
   [[nodiscard]] std::optional<core::Passed> passed() const override {
-    return may ? std::optional(core::Passed{7, "instance"}) : std::nullopt;
+    return can_pass ? std::optional(core::Passed{7, "instance"}) : std::nullopt;
   }
 };
 
-struct Reply : core::ClientReply {
+struct FakeReply : core::ClientReply {
   Log& log;
-  explicit Reply(Log& l) : log(l) {}
+  explicit FakeReply(Log& l) : log(l) {}
   void refuse(const core::Ending&) override { log.emplace_back("refused"); }
   void fail(const core::Ending&) override { log.emplace_back("failed"); }
   void relay(const core::Answer&) override { log.emplace_back("relayed"); }
@@ -166,16 +167,16 @@
   void let_go() override { log.emplace_back("let go"); }
 };
 
-struct Wires : core::Instances, core::Discovery {
+struct FakeInstances : core::Instances, core::Discovery {
   Log& log;
-  Stream* out = nullptr;
+  FakeAttempt* current = nullptr;
   bool passable = true;
-  explicit Wires(Log& l) : log(l) {}
+  explicit FakeInstances(Log& l) : log(l) {}
   std::unique_ptr<core::Attempt> start(const core::Target&, const core::PayloadPtr&, core::Time,
                                        core::ConnectionTerms, std::function<bool()>,
                                        core::AttemptEvents& events) override {
-    auto stream = std::make_unique<Stream>(log, events, passable);
-    out = stream.get();
+    auto stream = std::make_unique<FakeAttempt>(log, events, passable);
+    current = stream.get();
     return stream;
   }
   void claim(const core::Target&, const core::PayloadPtr&, std::function<bool()>,
@@ -192,9 +193,9 @@
 struct Process {
   Log log;
   FakeTime time;
-  Wires wires{log};
+  FakeInstances instances{log};
   std::unique_ptr<core::Conductor> conductor;
-  std::vector<core::RequestRecord::Result> ends;
+  std::vector<core::RequestRecord::Result> results;
   Process() {
     core::ConductorSettings s;
     s.module.classes.resize(1);
@@ -204,13 +205,13 @@
     s.module.kinds = {{eiderarch::Role::both, 0}};
     s.module.limits.max_attempts = 4;
     s.module.writers_read = true;
-    conductor =
-        std::make_unique<core::Conductor>(s, time, wires, wires, [](const char*, const std::string&) {});
-    conductor->observe([this](const core::RequestRecord& record) { ends.push_back(record.result); });
-    core::Listed box;
-    box.id = "box";
-    box.entry.engine = 5;
-    conductor->news({eiderarch::ListScope::changes, {box}});
+    conductor = std::make_unique<core::Conductor>(s, time, instances, instances,
+                                                  [](const char*, const std::string&) {});
+    conductor->observe([this](const core::RequestRecord& record) { results.push_back(record.result); });
+    core::Listed listed;
+    listed.id = "box";
+    listed.entry.engine = 5;
+    conductor->news({eiderarch::ListScope::changes, {listed}});
   }
   void ask() {
     core::Ask ask;
@@ -219,33 +220,33 @@
     auto payload = std::make_shared<core::Payload>();
     payload->id = "r-1";
     ask.payload = payload;
-    conductor->take(std::move(ask), std::make_unique<Reply>(log));
+    conductor->take(std::move(ask), std::make_unique<FakeReply>(log));
     time.settle();
   }
   core::RequestId take_over(const core::RunningStream& stream) {
     const auto id =
-        conductor->take_over(stream, std::make_unique<Reply>(log), [this](core::AttemptEvents& events) {
-          auto attempt = std::make_unique<Stream>(log, events, true);
-          wires.out = attempt.get();
+        conductor->take_over(stream, std::make_unique<FakeReply>(log), [this](core::AttemptEvents& events) {
+          auto attempt = std::make_unique<FakeAttempt>(log, events, true);
+          instances.current = attempt.get();
           return attempt;
         });
     time.settle();
     return id;
   }
-  void ended(core::Verdict verdict) {
+  void end_attempt(core::Verdict verdict) {
     core::AttemptResult result;
     result.verdict = verdict;
     result.progress = core::Progress::streaming;
-    wires.out->events.on_ended(std::move(result));
+    instances.current->events.on_ended(std::move(result));
     time.settle();
   }
 };
 
-// A stream in its middle, and all that one process knows of it.
-core::RunningStream running(Process& first) {
+// Starts a request in `first`, begins its stream and hands it over; returns the state passed on.
+core::RunningStream start_and_hand_over(Process& first) {
   first.ask();
-  first.wires.out->events.on_written();
-  first.wires.out->events.on_data("a");
+  first.instances.current->events.on_written();
+  first.instances.current->events.on_data("a");
   first.time.pass(2s);
   core::RunningStream passed;
   CHECK(first.conductor->pass_streams([&passed](const core::RunningStream& stream) {
@@ -258,12 +259,13 @@
 
 }  // namespace
 
-TEST_CASE("A stream that is passed on ends in silence here, and with its own end there") {
+TEST_CASE(
+    "A stream that is handed over ends silently in the first process and with its own result in the second") {
   Process first, second;
-  const core::RunningStream passed = running(first);
+  const core::RunningStream passed = start_and_hand_over(first);
   CHECK(first.log == Log{"begin", "a", "let go", "close"});
   CHECK(first.conductor->open_requests() == 0);
-  CHECK(first.ends == std::vector{core::RequestRecord::Result::passed_on});
+  CHECK(first.results == std::vector{core::RequestRecord::Result::passed_on});
   CHECK(first.conductor->figures().by_class[0].served == 0);
   CHECK(passed.box == "box");
   CHECK(passed.age == 2s);
@@ -273,60 +275,60 @@
   second.take_over(passed);
   CHECK(second.conductor->open_requests() == 1);
   CHECK(second.conductor->out_at(5) == 1);
-  second.wires.out->events.on_data("b");
-  second.ended(core::Verdict::served);
+  second.instances.current->events.on_data("b");
+  second.end_attempt(core::Verdict::served);
   CHECK(second.log == Log{"b", "close", "end"});
   CHECK(second.conductor->figures().by_class[0].served == 1);
   CHECK(second.conductor->open_requests() == 0);
 }
 
-TEST_CASE("A stream that was taken over breaks off with its instance, and is never sent again") {
+TEST_CASE("A stream that was taken over breaks off with its instance and is never retried") {
   for (const bool silent : {false, true}) {
     Process first, second;
-    second.take_over(running(first));
-    second.wires.out->events.on_data("b");
-    silent ? second.time.pass(5s) : second.ended(core::Verdict::broken);
+    second.take_over(start_and_hand_over(first));
+    second.instances.current->events.on_data("b");
+    silent ? second.time.pass(5s) : second.end_attempt(core::Verdict::broken);
     CHECK(second.log == Log{"b", "close", "abort"});
     second.time.pass(10s);
     CHECK(second.conductor->open_requests() == 0);
     CHECK(second.conductor->figures().attempts == 0);
   }
   Process first, second;
-  const core::RequestId id = second.take_over(running(first));
+  const core::RequestId id = second.take_over(start_and_hand_over(first));
   second.conductor->client_gone(id);
   second.time.settle();
   CHECK(second.log == Log{"close"});
-  CHECK(second.ends == std::vector{core::RequestRecord::Result::gone});
+  CHECK(second.results == std::vector{core::RequestRecord::Result::gone});
 }
 
-TEST_CASE("Where the attempt can't be made there, the client's stream breaks off once") {
+TEST_CASE("If the attempt cannot be created in the second process, the client's stream breaks off once") {
   Process first, second;
-  const core::RunningStream passed = running(first);
-  second.conductor->take_over(passed, std::make_unique<Reply>(second.log),
+  const core::RunningStream passed = start_and_hand_over(first);
+  second.conductor->take_over(passed, std::make_unique<FakeReply>(second.log),
                               [](core::AttemptEvents&) { return std::unique_ptr<core::Attempt>(); });
   second.time.pass(10s);
   CHECK(second.log == Log{"abort"});
   CHECK(second.conductor->open_requests() == 0);
 }
 
-TEST_CASE("What is not taken, or can't be passed on as it is, goes on where it was") {
+TEST_CASE("A stream that is not accepted or cannot be handed over continues in the first process") {
   for (const bool passable : {true, false}) {
     Process process;
-    process.wires.passable = passable;
+    process.instances.passable = passable;
     process.ask();
-    process.wires.out->events.on_written();
+    process.instances.current->events.on_written();
     int offered = 0;
     const auto refuse = [&offered](const core::RunningStream&) {
       ++offered;
       return false;
     };
-    CHECK(process.conductor->pass_streams(refuse) == 0);  // not begun
+    CHECK(process.conductor->pass_streams(refuse) == 0);  // the stream has not begun yet
     CHECK(offered == 0);
-    process.wires.out->events.on_data("a");
+    process.instances.current->events.on_data("a");
     CHECK(process.conductor->pass_streams(refuse) == 0);
     CHECK(offered == (passable ? 1 : 0));
-    process.wires.out->events.on_data("b");
-    process.ended(core::Verdict::served);
+    process.instances.current->events.on_data("b");
+    process.end_attempt(core::Verdict::served);
     CHECK(process.log == Log{"begin", "a", "b", "close", "end"});
   }
 }
--- a/tests/wire_parts_test.cpp
+++ b/tests/wire_parts_test.cpp
@@ -1,4 +1,4 @@
-// The parts that read what comes over the wire: responses, streams, reports, chat requests.
+// Parsers of wire input (responses, streams, load reports, chat requests) and the backoff of discovery calls.
 #include <catch2/catch.hpp>
 
 #include "net/http/request_parser.hpp"
@@ -15,21 +15,21 @@
 
 namespace {
 
-// Fed whole and byte by byte, which must come to the same.
+// Parses `bytes` at once and byte by byte; both must give the same body and end state.
 std::string body_of(const std::string& bytes, ResponseParser::State end) {
-  ResponseParser whole, pieces;
-  std::string body, in_pieces;
+  ResponseParser whole, byte_by_byte;
+  std::string body, body_from_bytes;
   whole.feed(bytes, body);
-  for (const char byte : bytes) pieces.feed(std::string_view(&byte, 1), in_pieces);
+  for (const char byte : bytes) byte_by_byte.feed(std::string_view(&byte, 1), body_from_bytes);
   CHECK(whole.state() == end);
-  CHECK(pieces.state() == end);
-  CHECK(body == in_pieces);
+  CHECK(byte_by_byte.state() == end);
+  CHECK(body == body_from_bytes);
   return body;
 }
 
 }  // namespace
 
-TEST_CASE("Responses are read by length, in chunks, to the end, and past interim ones") {
+TEST_CASE("Responses are parsed by length, in chunks, up to the close, and after interim responses") {
   using State = ResponseParser::State;
   CHECK(body_of("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nabc", State::done) == "abc");
   CHECK(body_of(
@@ -42,7 +42,8 @@
   CHECK(body_of("SSH-2.0-x\r\n", State::bad).empty());
 }
 
-TEST_CASE("A spoilt response is told at the first byte that cannot be one, and never waited for") {
+TEST_CASE(
+    "A malformed response is rejected at the first byte that proves it, without waiting for more input") {
   using State = ResponseParser::State;
   const std::string head = "HTTP/1.1 200 OK\r\n", chunked = head + "Transfer-Encoding: chunked\r\n\r\n";
   body_of("\x16\x03noise without an end", State::bad);
@@ -57,7 +58,8 @@
   body_of(interim, State::bad);
 }
 
-TEST_CASE("A request that two readers may take for different ones is bad, with the status that says why") {
+TEST_CASE(
+    "A request that parsers could read in different ways is rejected with a status that names the fault") {
   const std::string line = "POST /v1/chat/completions HTTP/1.1\r\n",
                     chunked = "Transfer-Encoding: chunked\r\n";
   const std::pair<int, std::string> bad[] = {
@@ -86,23 +88,23 @@
        }()}};
   for (const auto& [status, text] : bad) {
     CAPTURE(text.substr(0, 90));
-    net::RequestParser whole, pieces;
+    net::RequestParser whole, byte_by_byte;
     std::string body;
-    whole.take(text, body);
-    for (const char byte : text) pieces.take(std::string_view(&byte, 1), body);
+    whole.feed_limited(text, body);
+    for (const char byte : text) byte_by_byte.feed_limited(std::string_view(&byte, 1), body);
     CHECK(whole.state() == net::RequestParser::State::bad);
-    CHECK(whole.fault() == status);
-    CHECK(pieces.fault() == status);
+    CHECK(whole.error_status() == status);
+    CHECK(byte_by_byte.error_status() == status);
   }
   net::RequestParser good;
   std::string body;
   const std::string text = "\r\n" + line + chunked + "\r\n2\r\nab\r\n1\r\nc\r\n0\r\n\r\n";
-  CHECK(good.take(text + "GET /next", body) == text.size());
+  CHECK(good.feed_limited(text + "GET /next", body) == text.size());
   CHECK(good.state() == net::RequestParser::State::done);
   CHECK(body == "abc");
 }
 
-TEST_CASE("A stream is looked at across its pieces") {
+TEST_CASE("A stream is scanned across the boundaries of its pieces") {
   sse::StreamScanner scanner;
   const std::string text =
       "data: {\"choices\":[{\"delta\":{\"content\":\"say \\\"error\\\"\"}}]}\n\n"
@@ -133,13 +135,13 @@
   const std::string first = system + R"(,{"role":"user","content":[{"type":"text","text":"1234"}]})";
   const auto chat = read(first, R"(,"max_tokens":100,"stream":true)");
   CHECK(chat.arrived.request_class == 1);
-  CHECK(chat.arrived.prefix_tokens == 6);   // 2, and 4 for the message
-  CHECK(chat.arrived.prompt_tokens == 11);  // and 5 for the user's
+  CHECK(chat.arrived.prefix_tokens == 6);   // 2 of the text and 4 for the message
+  CHECK(chat.arrived.prompt_tokens == 11);  // and 5 for the user's message
   CHECK(chat.arrived.max_output == 100);
   CHECK(chat.patience.count() / 1000 == 12'000);
-  // A whole answer's client waits for its last token.
+  // The client of a non-streamed answer waits for its last token.
   CHECK(read(first, R"(,"max_tokens":100)").patience.count() / 1000 == 28'000);
-  // The next turn is of the same session; another first word begins another.
+  // A later turn belongs to the same session; a different first user message starts another.
   const auto next = read(first + R"(,{"role":"assistant","content":"x"},{"role":"user","content":"y"})");
   CHECK(next.arrived.session == chat.arrived.session);
   CHECK(next.arrived.prefix == chat.arrived.prefix);
@@ -148,7 +150,8 @@
         read(system + R"(,{"role":"user","content":"other"})", R"(,"prompt_cache_key":"k")").arrived.session);
 }
 
-TEST_CASE("A wait after failures in a row doubles up to its most, and each caller draws it under a ceiling") {
+TEST_CASE(
+    "Backoff ceilings double up to the maximum, and each wait is between half the ceiling and the ceiling") {
   using std::chrono::milliseconds;
   const net::Backoff backoff{milliseconds(100), milliseconds(2000)};
   CHECK(backoff.wait(0, 0.7) == milliseconds(0));
@@ -158,30 +161,31 @@
   CHECK(backoff.wait(3, 0.5) == milliseconds(300));
   CHECK(backoff.wait(5, 1.0) == milliseconds(1600));
   CHECK(backoff.wait(6, 1.0) == milliseconds(2000));
-  CHECK(backoff.wait(1000, 0.0) == milliseconds(1000));  // no overflow, however long it fails
-  CHECK(backoff.wait(1000, 2.0) == milliseconds(2000));  // a draw out of range is held in it
+  CHECK(backoff.wait(1000, 0.0) == milliseconds(1000));  // no overflow, however many failures
+  CHECK(backoff.wait(1000, 2.0) == milliseconds(2000));  // a value out of range is clamped
 }
 
-// The operators' term goes before what a refused fleet costs its discovery: whatever call failed, a change
-// counts as told 6 s after discovery had it and could be reached.
-TEST_CASE("However many conductors, the longest wait and a call fit the time in which a change is told") {
+// The latency limit of the operators takes precedence over the load that refused conductors put on discovery:
+// whichever call failed, a change must take effect within 6 s after discovery had it and could be reached.
+TEST_CASE(
+    "For any number of conductors, the longest wait and one call fit the latency limit of list changes") {
   using std::chrono::milliseconds;
-  constexpr milliseconds kTold{6000}, kSilentCall{3000}, kQueuedCall{2000};
+  constexpr milliseconds kListLatencyLimit{6000}, kSilentCallTime{3000}, kQueuedCallTime{2000};
   CHECK(net::backoff_for(1).first == milliseconds(100));
-  CHECK(net::backoff_for(2).most == milliseconds(2000));
-  core::Duration first{0}, most{0};
+  CHECK(net::backoff_for(2).max == milliseconds(2000));
+  core::Duration first{0}, max{0};
   for (const unsigned conductors : {1u, 2u, 3u, 8u, 30u, 100u, 300u, 100000u}) {
     const net::Backoff backoff = net::backoff_for(conductors);
-    CHECK(backoff.first <= backoff.most);
-    CHECK(backoff.most + kQueuedCall <= kTold);
-    CHECK(kSilentCall + backoff.at_most(net::kMostAfterSilence).most < kTold);
-    CHECK(backoff.at_most(net::kMostAfterSilence).first <= backoff.first);
-    CHECK(backoff.first >= first);  // more conductors wait longer, up to that
-    CHECK(backoff.most >= most);
+    CHECK(backoff.first <= backoff.max);
+    CHECK(backoff.max + kQueuedCallTime <= kListLatencyLimit);
+    CHECK(kSilentCallTime + backoff.at_most(net::kMaxWaitAfterSilence).max < kListLatencyLimit);
+    CHECK(backoff.at_most(net::kMaxWaitAfterSilence).first <= backoff.first);
+    CHECK(backoff.first >= first);  // a larger fleet waits longer, up to the limit
+    CHECK(backoff.max >= max);
     first = backoff.first;
-    most = backoff.most;
+    max = backoff.max;
   }
   CHECK(net::backoff_for(50).first == milliseconds(1000));
   CHECK(net::backoff_for(300).first == milliseconds(4000));
-  CHECK(net::backoff_for(300).most == milliseconds(4000));
+  CHECK(net::backoff_for(300).max == milliseconds(4000));
 }
