--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -1,4 +1,5 @@
-// The adapter: settings and events in, actions out, malformed input named by its line.
+// Line protocol of the simhost adapter: settings and events are decoded, actions are encoded, and malformed
+// input is reported with its line number.
 #include <gtest/gtest.h>
 
 #include <sstream>
@@ -133,7 +134,7 @@
   EXPECT_NE(r.out.find(R"("txn":7,"type":"TRY")"), std::string::npos) << r.out;
 }
 
-TEST(Host, AStoppedInstanceSaysNothing) {
+TEST(Host, ADetachedInstanceWritesNothing) {
   const Result r =
       run(kSync + kInit + "\n" + kList + kRequest + "{\"type\":\"DETACH\",\"who\":\"front_0\"}\n" + kEob);
   EXPECT_EQ(r.code, 0);
@@ -146,7 +147,7 @@
   EXPECT_EQ(r.code, 0);
 }
 
-TEST(Host, MalformedLinesAreNamedAndEndTheRun) {
+TEST(Host, MalformedLinesAreReportedAndEndTheRun) {
   const std::pair<std::string, std::string> cases[] = {
       {"nonsense\n", "line 1: not JSON"},
       {"[1]\n", "line 1: not an object"},
@@ -169,7 +170,7 @@
   }
 }
 
-TEST(Host, CrashIsReportedInTheWiresWords) {
+TEST(Host, CrashIsEncodedAsValidJson) {
   EXPECT_EQ(Json::parse(encode_crash("front_2", "bad \xff")).at("type"), "CRASH");
 }
 
