--- a/tests/stories/accept_failure_test.cpp
+++ b/tests/stories/accept_failure_test.cpp
@@ -1,5 +1,5 @@
-// Failures of accept4, injected in this test binary alone: the listener comes back soon, never spins, and at
-// shutdown what lies in its queue is still answered.
+// Failures of accept4, injected in this test binary only: the listener recovers soon, never busy-loops, and
+// at shutdown the connections in its backlog are still answered.
 #include <dlfcn.h>
 #include <sys/socket.h>
 
@@ -22,8 +22,8 @@
 
 struct AcceptFailures {
   std::atomic<int> error{0};
-  std::atomic<int> left{0};   // calls that still fail
-  std::atomic<int> calls{0};  // while failures were asked for
+  std::atomic<int> remaining{0};  // number of calls that will still fail
+  std::atomic<int> calls{0};      // calls made while failures were injected
 };
 
 AcceptFailures& failures() {
@@ -31,28 +31,28 @@
   return failures;
 }
 
-// Makes the next `count` calls fail, until this ends.
-class Failing {
+// Makes the next `count` calls fail, at most until its destruction.
+class InjectedFailures {
  public:
-  Failing(int error, int count) {
+  InjectedFailures(int error, int count) {
     failures().error = error;
     failures().calls = 0;
-    failures().left = count;
+    failures().remaining = count;
   }
-  ~Failing() { failures().left = 0; }
-  Failing(const Failing&) = delete;
-  Failing& operator=(const Failing&) = delete;
+  ~InjectedFailures() { failures().remaining = 0; }
+  InjectedFailures(const InjectedFailures&) = delete;
+  InjectedFailures& operator=(const InjectedFailures&) = delete;
 };
 
 constexpr int kAlways = 1'000'000;
 constexpr int kClients = 3;
 
-// What Linux documents for accept: of one connection or a signal, and of the machine's means.
+// Errors that Linux documents for accept: of a single connection or a signal, and of exhausted resources.
 constexpr int kTransient[] = {EINTR,     ECONNABORTED, EPROTO,       ENETDOWN,   ENOPROTOOPT,
                               EHOSTDOWN, ENONET,       EHOSTUNREACH, EOPNOTSUPP, ENETUNREACH};
 constexpr int kExhausted[] = {EMFILE, ENFILE, ENOBUFS, ENOMEM};
 
-struct Served {
+struct TestServer {
   net::Loop loop;
   std::string address = own_address();
   net::HttpServer server{loop, address,
@@ -82,74 +82,74 @@
 extern "C" int accept4(int listener, sockaddr* address, socklen_t* length, int flags) {
   using Accept = int (*)(int, sockaddr*, socklen_t*, int);
   static const auto kReal = reinterpret_cast<Accept>(dlsym(RTLD_NEXT, "accept4"));
-  if (failures().left > 0) {
+  if (failures().remaining > 0) {
     ++failures().calls;
-    --failures().left;
+    --failures().remaining;
     errno = failures().error;
     return -1;
   }
   return kReal(listener, address, length, flags);
 }
 
-TEST_CASE("Accept: an error of one connection costs those behind it nothing when the listener ends") {
+TEST_CASE("Accept: an error of one connection does not affect those behind it when the listener closes") {
   for (const int error : kTransient) {
     for (const int count : {1, 5}) {
-      Served served;
-      served.ask();
+      TestServer test;
+      test.ask();
       {
-        const Failing failing(error, count);
-        CHECK(served.server.stop_listening());
+        const InjectedFailures injected(error, count);
+        CHECK(test.server.stop_listening());
       }
-      served.run(200ms);
-      CHECK(served.answered() == kClients);
+      test.run(200ms);
+      CHECK(test.answered() == kClients);
     }
   }
 }
 
-TEST_CASE("Accept: a listener that finds no descriptor at its end is told again and answers all") {
+TEST_CASE("Accept: a listener without descriptors at shutdown is asked again and answers all connections") {
   for (const int error : kExhausted) {
-    Served served;
-    served.ask();
+    TestServer test;
+    test.ask();
     {
-      const Failing failing(error, 1);
-      CHECK_FALSE(served.server.stop_listening());
+      const InjectedFailures injected(error, 1);
+      CHECK_FALSE(test.server.stop_listening());
     }
-    CHECK(served.server.stop_listening());
-    served.run(200ms);
-    CHECK(served.answered() == kClients);
+    CHECK(test.server.stop_listening());
+    test.run(200ms);
+    CHECK(test.answered() == kClients);
   }
 }
 
-TEST_CASE("Accept: errors without an end do not hold the listener's end up") {
-  Served served;
-  const Failing failing(ECONNABORTED, kAlways);
-  CHECK_FALSE(served.server.stop_listening());
+TEST_CASE("Accept: permanent errors do not delay the closing of the listener") {
+  TestServer test;
+  const InjectedFailures injected(ECONNABORTED, kAlways);
+  CHECK_FALSE(test.server.stop_listening());
   CHECK(failures().calls <= 2000);
 }
 
-TEST_CASE("Accept: the listener serves again at once after an error, and does not spin while one lasts") {
+TEST_CASE("Accept: the listener recovers at once after an error and does not busy-loop while one lasts") {
   for (const int error : kTransient) {
-    Served served;
-    served.ask();
-    const Failing failing(error, 3);
-    served.run(50ms);
-    CHECK(served.answered() == kClients);
+    TestServer test;
+    test.ask();
+    const InjectedFailures injected(error, 3);
+    test.run(50ms);
+    CHECK(test.answered() == kClients);
   }
   for (const int error : kExhausted) {
-    Served served;
-    served.ask();
+    TestServer test;
+    test.ask();
     {
-      const Failing failing(error, kAlways);
-      served.run(450ms);
+      const InjectedFailures injected(error, kAlways);
+      test.run(450ms);
       CHECK(failures().calls >= 2);
       CHECK(failures().calls <= 10);
     }
-    served.run(300ms);
-    CHECK(served.answered() == kClients);
+    test.run(300ms);
+    CHECK(test.answered() == kClients);
   }
 }
 
-TEST_CASE("Accept: the agent check does not spin without descriptors, and answers when there are some") {
+TEST_CASE("Accept: the agent check does not busy-loop without descriptors and answers once there are some") {
   net::Loop loop;
   net::AgentCheck agent(loop, "127.0.0.1:0", [] { return net::Standing{}; });
   const auto balancer = Wire::to("127.0.0.1:" + std::to_string(agent.port()));
@@ -158,7 +158,7 @@
     loop.run();
   };
   {
-    const Failing failing(EMFILE, kAlways);
+    const InjectedFailures injected(EMFILE, kAlways);
     run(450ms);
     CHECK(failures().calls <= 10);
   }
--- a/tests/stories/crossing_stories.cpp
+++ b/tests/stories/crossing_stories.cpp
@@ -1,4 +1,5 @@
-// Moments in which two events cross, one story for each row of docs/crossings.md that sockets can show.
+// Race conditions between two events, one test for each row of docs/crossings.md that can be provoked through
+// sockets.
 #include <atomic>
 #include <catch2/catch.hpp>
 #include <csignal>
@@ -15,10 +16,12 @@
 const std::string kChat = "POST /v1/chat/completions?v=2";
 const std::string kReady = "GET /-/ready HTTP/1.1\r\nConnection: close\r\n\r\n";
 
-bool has(const std::string& text, const std::string& part) { return text.find(part) != std::string::npos; }
+bool contains_text(const std::string& text, const std::string& part) {
+  return text.find(part) != std::string::npos;
+}
 
-// Answers every request on each connection with one event, and notes what came.
-Peer::Script serving(Record& seen) {
+// Answers every request on each connection with one event, and records the X-Txn or the request line.
+Peer::Script serve_requests(Record& seen) {
   return [&seen](Wire& wire) {
     while (const auto request = wire.receive()) {
       const auto txn = request->headers.find("x-txn");
@@ -28,37 +31,41 @@
   };
 }
 
-// Sends the signal, and waits until the program has taken it: it says then that it is not ready.
-void tell_end(Platform& platform, int signal) {
+// Sends the signal and waits until the program has handled it, which shows in its readiness.
+void signal_shutdown(Platform& platform, int signal) {
   platform.program().send_signal(signal);
   for (int i = 0; i < 500; ++i) {
     if (platform.ask(kReady).starts_with("HTTP/1.1 503")) return;
   }
-  FAIL("not told");
+  FAIL("the program did not become unready after the signal");
 }
 
-std::string kept(std::string request) { return request.erase(request.find("Connection: close\r\n"), 19); }
+std::string without_close(std::string request) {
+  return request.erase(request.find("Connection: close\r\n"), 19);
+}
 
 }  // namespace
 
-// ---- Clients that leave ----
+// ---- Disconnecting clients ----
 
-// Behind 64 KiB nobody read on, so the end was not seen, and the request went out long after its client.
-TEST_CASE("Crossing: a client that leaves while its request waits is noticed, and nothing is sent for it") {
+// With 64 KiB of buffered input the conductor stopped reading, missed the client's close, and sent the
+// request long after the client had left.
+TEST_CASE("Crossing: a client that leaves while its request waits is noticed, and its request is not sent") {
   for (const char* how : {"closes", "half-closes", "closes behind much else"}) {
     CAPTURE(how);
     Record seen;
-    Peer box(serving(seen));
+    Peer instance(serve_requests(seen));
     Platform platform({});
     const auto client = platform.connect();
-    // `possible` needs a server: one is listed that takes no connection, and is set aside.
+    // A request waits only while an instance is listed, so one is listed that refuses connections and is set
+    // aside.
     platform.push(Platform::line(2, false, {{"gone", "mixto", "127.0.0.1:1"}}));
     client->send(client_request("left", "consulta", 9000, 100));
-    if (has(how, "much")) client->send(std::string(200 * 1024, 'x'));
-    std::this_thread::sleep_for(100ms);  // it waits
-    has(how, "half") ? client->half_close() : client->close();
+    if (contains_text(how, "much")) client->send(std::string(200 * 1024, 'x'));
+    std::this_thread::sleep_for(100ms);  // the request is waiting now
+    contains_text(how, "half") ? client->half_close() : client->close();
     std::this_thread::sleep_for(100ms);
-    platform.push(Platform::line(3, false, {{"w", "mixto", box.address()}}));
+    platform.push(Platform::line(3, false, {{"w", "mixto", instance.address()}}));
     CHECK(platform.ask(client_request("stays", "consulta", 5000, 100)).starts_with("HTTP/1.1 200"));
     std::this_thread::sleep_for(500ms);
     CHECK(seen.all() == std::vector<std::string>{"stays"});
@@ -67,20 +74,22 @@
 
 // ---- Closing ----
 
-// Closed at once, the rest of the answer was lost: what the client had sent meanwhile reset the connection.
-TEST_CASE("Crossing: bytes that come while the last answer is on its way do not destroy it") {
+// The connection used to be closed at once. Input that arrived meanwhile then reset it, and the rest of the
+// response was lost.
+TEST_CASE("Crossing: input that arrives during the last response does not destroy the response") {
   Record seen;
   const std::string text(200 * 1024, 'y');
-  Peer box([&](Wire& wire) {
+  Peer instance([&](Wire& wire) {
     if (!wire.receive()) return;
     wire.send(stream_head() + chunk("data: " + text + "\n\n") + "0\r\n\r\n");
     seen.add("written");
   });
-  Platform platform({{"w", "mixto", box.address()}});
-  const auto client = platform.connect(4096);  // the answer stays in the program's part of the connection
+  Platform platform({{"w", "mixto", instance.address()}});
+  const auto client = platform.connect(4096);  // most of the response stays in the program's send buffer
   client->send(client_request("slow", "consulta", 5000, 100));
   REQUIRE(seen.wait_for("written"));
-  for (int i = 0; i < 3; ++i) CHECK(platform.ask(kReady).starts_with("HTTP/1.1 200"));  // the loop went round
+  // Lets the program's loop run.
+  for (int i = 0; i < 3; ++i) CHECK(platform.ask(kReady).starts_with("HTTP/1.1 200"));
   client->send("one more line\r\n");
   std::this_thread::sleep_for(20ms);
   const std::string answer = client->receive_all();
@@ -88,12 +97,12 @@
   CHECK(answer.ends_with("0\r\n\r\n"));
 }
 
-TEST_CASE("Crossing: an answer that comes a second time, late, is not taken for the next request's") {
+TEST_CASE("Crossing: a late duplicate response is not taken for the response to the next request") {
   Record seen;
-  Peer box([&](Wire& wire) {
+  Peer instance([&](Wire& wire) {
     std::optional<std::chrono::steady_clock::time_point> answered;
     while (const auto request = wire.receive()) {
-      // The second answer is written only now, but within the time in which boxes do that.
+      // Sends the duplicate late, but within the time in which instances do so.
       if (answered && std::chrono::steady_clock::now() - *answered < 45ms) {
         seen.add("crossed");
         wire.send(events({"stray"}));
@@ -102,32 +111,32 @@
       answered = std::chrono::steady_clock::now();
     }
   });
-  Platform platform({{"w", "mixto", box.address()}});
+  Platform platform({{"w", "mixto", instance.address()}});
   for (int i = 0; i < 10; ++i) {
     const std::string name = "r" + std::to_string(i);
     const std::string answer = platform.ask(client_request(name, "consulta", 5000, 100));
-    CHECK(has(answer, "data: " + name + "\n"));
-    CHECK_FALSE(has(answer, "stray"));
+    CHECK(contains_text(answer, "data: " + name + "\n"));
+    CHECK_FALSE(contains_text(answer, "stray"));
   }
   CHECK(seen.count("crossed") == 0);
 }
 
-// A probe's or a place's second answer, as it would look to an attempt on the connection that they used.
-TEST_CASE("Crossing: a 200 that is no stream of events is nobody's answer") {
+// Simulates the duplicate answer to a probe or claim, as an attempt on the reused connection would see it.
+TEST_CASE("Crossing: a 200 that is no event stream is not accepted as an answer") {
   Record seen;
-  Peer box([&](Wire& wire) {
+  Peer instance([&](Wire& wire) {
     if (!wire.receive()) return;
     seen.add("asked");
     wire.send(simple("200 OK", "{\"x1\":3}", "Content-Type: application/json\r\n"));
   });
-  Platform platform({{"w", "mixto", box.address()}});
+  Platform platform({{"w", "mixto", instance.address()}});
   const std::string answer = platform.ask(client_request("odd", "ajuste", 1500, 100));
   CHECK(answer.starts_with("HTTP/1.1 502"));
-  CHECK_FALSE(has(answer, "x1"));
+  CHECK_FALSE(contains_text(answer, "x1"));
   CHECK(seen.count("asked") == 1);
 }
 
-TEST_CASE("Crossing: a refusal whose rest never comes ends its attempt soon, and another instance serves") {
+TEST_CASE("Crossing: a refusal with an incomplete body ends its attempt soon, and another instance serves") {
   Record seen;
   Peer stuck([&](Wire& wire) {
     if (!wire.receive()) return;
@@ -139,7 +148,7 @@
   const auto client = platform.connect();
   client->send(client_request("moves", "ajuste", 8000, 100));
   REQUIRE(seen.wait_for("refused"));
-  Peer well(serving(seen));
+  Peer well(serve_requests(seen));
   platform.push(Platform::line(2, false, {{"b", "mixto", well.address()}}));
   CHECK(seen.wait_for("moves", 1, 2500));
   CHECK(client->receive_all().starts_with("HTTP/1.1 200"));
@@ -148,38 +157,39 @@
 
 // ---- Shutdown ----
 
-TEST_CASE("Crossing: a second SIGTERM ends nothing that was taken") {
+TEST_CASE("Crossing: a second SIGTERM ends no accepted request") {
   Record seen;
-  Peer box([&](Wire& wire) {
+  Peer instance([&](Wire& wire) {
     if (!wire.receive()) return;
     seen.add("taken");
     if (!seen.wait_for("told twice")) return;
     wire.send(events({"[DONE]"}));
   });
-  Platform platform({{"w", "mixto", box.address()}});
+  Platform platform({{"w", "mixto", instance.address()}});
   const auto client = platform.connect();
   client->send(client_request("held", "ajuste", 5000, 100));
   REQUIRE(seen.wait_for("taken"));
-  tell_end(platform, SIGTERM);
+  signal_shutdown(platform, SIGTERM);
   platform.program().terminate();
-  for (int i = 0; i < 3; ++i) CHECK(platform.ask(kReady).starts_with("HTTP/1.1 503"));  // the loop went round
+  // Lets the program's loop run.
+  for (int i = 0; i < 3; ++i) CHECK(platform.ask(kReady).starts_with("HTTP/1.1 503"));
   seen.add("told twice");
   CHECK(client->receive_all().ends_with("0\r\n\r\n"));
   CHECK(platform.program().wait() == 0);
 }
 
-TEST_CASE("Crossing: asked again at a terminal, it refuses what has not begun and ends") {
+TEST_CASE("Crossing: a second SIGINT refuses requests that have not begun and ends the program") {
   Record seen;
-  Peer box([&](Wire& wire) {
+  Peer instance([&](Wire& wire) {
     if (!wire.receive()) return;
     seen.add("taken");
     (void)wire.closed_within(9000);
   });
-  Platform platform({{"w", "mixto", box.address()}});
+  Platform platform({{"w", "mixto", instance.address()}});
   const auto client = platform.connect();
   client->send(client_request("held", "consulta", 9000, 100));
   REQUIRE(seen.wait_for("taken"));
-  tell_end(platform, SIGINT);
+  signal_shutdown(platform, SIGINT);
   const auto asked = std::chrono::steady_clock::now();
   platform.program().send_signal(SIGINT);
   CHECK(client->receive_all().starts_with("HTTP/1.1 503"));
@@ -187,18 +197,18 @@
   CHECK(std::chrono::steady_clock::now() - asked < 1500ms);
 }
 
-TEST_CASE("Crossing: what lies in the listener's queue when accepting ends is answered") {
+TEST_CASE("Crossing: connections in the backlog when accepting stops are answered") {
   Record seen;
-  Peer box(serving(seen));
-  Platform platform({{"w", "mixto", box.address()}});
-  tell_end(platform, SIGTERM);
+  Peer instance(serve_requests(seen));
+  Platform platform({{"w", "mixto", instance.address()}});
+  signal_shutdown(platform, SIGTERM);
   platform.program().send_signal(SIGSTOP);
   std::vector<std::unique_ptr<Wire>> late;
   for (int i = 0; i < 40; ++i) {
     late.push_back(platform.connect());
     late.back()->send(client_request("late" + std::to_string(i), "consulta", 5000, 100));
   }
-  std::this_thread::sleep_for(600ms);  // past the time in which it takes connections
+  std::this_thread::sleep_for(600ms);  // after the program has stopped accepting
   platform.program().send_signal(SIGCONT);
   int served = 0;
   for (const auto& client : late) served += client->receive_all().ends_with("0\r\n\r\n") ? 1 : 0;
@@ -206,27 +216,27 @@
   CHECK(platform.program().wait() == 0);
 }
 
-TEST_CASE("Crossing: a request that meets the end of a resting connection is sent nowhere") {
+TEST_CASE("Crossing: a request that arrives as its idle connection is closed is sent to no instance") {
   Record seen;
-  Peer box(serving(seen));
-  Platform platform({{"w", "mixto", box.address()}});
+  Peer instance(serve_requests(seen));
+  Platform platform({{"w", "mixto", instance.address()}});
   const auto resting = platform.connect();
-  resting->send(kept(client_request("first", "consulta", 5000, 100)));
+  resting->send(without_close(client_request("first", "consulta", 5000, 100)));
   (void)resting->receive_until("0\r\n\r\n");
   platform.program().terminate();
   REQUIRE(resting->closed_within(3000));
   resting->send(client_request("crossing", "consulta", 5000, 100));
-  CHECK(resting->reset_within(3000));  // not read: its client may send it again
+  CHECK(resting->reset_within(3000));  // unread, so the client may retry
   CHECK(resting->receive_all().empty());
   CHECK(platform.program().wait() == 0);
   CHECK(seen.all() == std::vector<std::string>{"first"});
 }
 
-// Read, a request on a new connection that is ended for its silence would be lost.
-TEST_CASE("Crossing: a request that meets the end of a silent connection is not read") {
+// A request that arrives while its new connection is closed for silence would be lost if it were read.
+TEST_CASE("Crossing: a request that arrives as its silent connection is closed is not read") {
   Record seen;
-  Peer box(serving(seen));
-  Platform platform({{"w", "mixto", box.address()}});
+  Peer instance(serve_requests(seen));
+  Platform platform({{"w", "mixto", instance.address()}});
   const auto silent = platform.connect();
   REQUIRE(silent->closed_within(5000));
   silent->send(client_request("crossing", "consulta", 5000, 100));
@@ -235,7 +245,7 @@
   CHECK(seen.all().empty());
 }
 
-TEST_CASE("Crossing: a resting connection whose client closes as it is ended is not waited for") {
+TEST_CASE("Crossing: an idle connection that both sides close does not delay the shutdown") {
   Platform platform({});
   const auto resting = platform.connect();
   resting->send("GET /-/ready HTTP/1.1\r\n\r\n");
@@ -248,23 +258,24 @@
 
 // ---- The list ----
 
-TEST_CASE("Crossing: a list that comes indented, in pieces, counts like any other") {
+TEST_CASE("Crossing: an indented list that arrives in pieces is accepted like any other") {
   Record seen;
-  Peer one(serving(seen)), two(serving(seen));
+  Peer one(serve_requests(seen)), two(serve_requests(seen));
   Platform platform({{"w1", "mixto", "127.0.0.1:1"}});
   REQUIRE(platform.watches.wait_for("GET /api/targets?follow=1&since=1 HTTP/1.1"));
   const auto indented = [](const std::string& line) { return nlohmann::json::parse(line).dump(2); };
   platform.push(indented(Platform::line(2, true, {{"w2", "mixto", one.address()}})));
   CHECK(platform.ask(client_request("a", "consulta", 5000, 100)).starts_with("HTTP/1.1 200"));
-  platform.push("{\n  \"version\": 3, \"servers\": [");  // cut short; the next counts all the same
+  platform.push("{\n  \"version\": 3, \"servers\": [");  // truncated; the next object must still be accepted
   platform.push(indented(Platform::line(4, true, {{"w3", "mixto", two.address()}})));
   REQUIRE(platform.watches.wait_for("GET /api/targets?follow=1&since=4 HTTP/1.1"));
   CHECK(platform.ask(client_request("b", "consulta", 5000, 100)).starts_with("HTTP/1.1 200"));
   CHECK(seen.all() == std::vector<std::string>{"a", "b"});
 }
 
-// What it misses counts as told 6 s after it fell silent; of a fleet of 300 each came back after 6 to 9 s.
-TEST_CASE("Crossing: a watch that falls silent is open again within 5 s, however large the fleet that asks") {
+// Changes missed by a silent watch must take effect within 6 s. In a fleet of 300, watches were reopened only
+// after 6 to 9 s.
+TEST_CASE("Crossing: a watch that falls silent is reopened within 5 s in any size of fleet") {
   nlohmann::json site = site_settings();
   site["nInstances"] = 300;
   site["registryMode"] = "on_request";
@@ -274,9 +285,9 @@
   CHECK(platform.watches.wait_for("GET /api/targets?follow=1&since=2 HTTP/1.1", 1, 5000));
 }
 
-// A discovery that the story scripts call by call: each takes a call's wire, the last one all further calls.
-struct Calls {
-  explicit Calls(std::vector<Peer::Script> scripts)
+// Discovery service with a script for each call; the last script serves all further calls.
+struct ScriptedDiscovery {
+  explicit ScriptedDiscovery(std::vector<Peer::Script> scripts)
       : peer([this, scripts = std::move(scripts)](Wire& wire) {
           if (!wire.receive()) return;
           const std::size_t now = number++;
@@ -299,11 +310,11 @@
   Peer peer;
 };
 
-// Taken for the one service of a large fleet, a silent call to the new one would last 3 s, and the next wait
-// up to 6 s.
-TEST_CASE("Crossing: SIGHUP while the old discovery refuses: the new one is called as if nothing had been") {
+// If the new discovery were still treated as the shared service of a large fleet, a silent call would last 3
+// s and the following wait up to 6 s.
+TEST_CASE("Crossing: a new discovery after SIGHUP is called without regard to refusals of the old one") {
   Record seen;
-  Peer box(serving(seen));
+  Peer instance(serve_requests(seen));
   nlohmann::json site = site_settings();
   site["nInstances"] = 50;
   Platform platform({}, site);
@@ -311,15 +322,16 @@
   REQUIRE(platform.watches.wait_for(call));
   platform.refuse_watches(true);
   platform.break_watch();
-  REQUIRE(platform.watches.wait_for(call, 3));  // the program has read the answer to the second
+  REQUIRE(platform.watches.wait_for(call, 3));  // the program has read the second refusal
 
-  Calls moved({Calls::silent, Calls::list({"w", "mixto", box.address()}, true)});
+  ScriptedDiscovery moved(
+      {ScriptedDiscovery::silent, ScriptedDiscovery::list({"w", "mixto", instance.address()}, true)});
   nlohmann::json fresh = platform.config();
   fresh["discovery"] = moved.peer.address();
   platform.reload(fresh.dump());
   REQUIRE(moved.seen.wait_for("call"));
   CHECK(moved.seen.wait_for("call", 2, 1500));
-  // The call has been counted; its list may still be on the way, and without it all is refused.
+  // The call is counted before its list arrives, and requests are refused until then.
   std::string answer;
   for (int i = 0; i < 100 && !answer.starts_with("HTTP/1.1 200"); ++i) {
     answer = platform.ask(client_request("a" + std::to_string(i), "consulta", 5000, 100));
@@ -327,11 +339,13 @@
   CHECK(answer.starts_with("HTTP/1.1 200"));
 }
 
-TEST_CASE("Crossing: a refusal after the end of a watch that worked is the first in a row, not the second") {
+TEST_CASE(
+    "Crossing: a refusal after the end of a working watch counts as the first failure, not the second") {
   Record seen;
-  Peer box(serving(seen));
-  const Platform::Instance w{"w", "mixto", box.address()};
-  Calls moved({Calls::list(w, false), Calls::refused, Calls::list(w, true)});
+  Peer instance(serve_requests(seen));
+  const Platform::Instance w{"w", "mixto", instance.address()};
+  ScriptedDiscovery moved(
+      {ScriptedDiscovery::list(w, false), ScriptedDiscovery::refused, ScriptedDiscovery::list(w, true)});
   Platform platform({});
   nlohmann::json fresh = platform.config();
   fresh["discovery"] = moved.peer.address();
@@ -340,20 +354,19 @@
   platform.program().terminate();
   CHECK(platform.program().wait() == 0);
   const std::string log = platform.program().output();
-  CHECK(has(log, "no watch after 1 calls in a row"));
-  CHECK_FALSE(has(log, "no watch after 2 calls in a row"));
+  CHECK(contains_text(log, "no watch after 1 calls in a row"));
+  CHECK_FALSE(contains_text(log, "no watch after 2 calls in a row"));
 }
 
-// How many descriptors a process has open.
+// Number of descriptors that a process has open.
 std::ptrdiff_t descriptors(pid_t pid) {
   return std::distance(std::filesystem::directory_iterator("/proc/" + std::to_string(pid) + "/fd"), {});
 }
 
-TEST_CASE(
-    "Crossing: idle clients that fill the descriptors while discovery is down leave it and instances one") {
+TEST_CASE("Crossing: idle clients that use up their descriptors leave enough for discovery and instances") {
   Record seen;
-  Peer box(serving(seen));
-  // A request waits while a server is listed, though this one takes no connection.
+  Peer instance(serve_requests(seen));
+  // A request waits while an instance is listed, even one that refuses connections.
   Platform platform({{"gone", "mixto", "127.0.0.1:1"}});
   const std::string call = "GET /api/targets?follow=1&since=1 HTTP/1.1";
   REQUIRE(platform.watches.wait_for(call));
@@ -363,7 +376,7 @@
   for (int i = 0; i < 400; ++i) idle.push_back(platform.connect());  // more than the limits leave for clients
   CHECK(platform.ask(kReady).starts_with("HTTP/1.1 200"));
   CHECK(descriptors(platform.program().pid()) <= 512);
-  platform.push(Platform::line(2, true, {{"w", "mixto", box.address()}}));
+  platform.push(Platform::line(2, true, {{"w", "mixto", instance.address()}}));
   platform.silence(false);
   for (int i = 0; i < 400; ++i) idle.push_back(platform.connect());
   CHECK(platform.ask(client_request("a", "consulta", 5000, 100)).starts_with("HTTP/1.1 200"));
@@ -373,9 +386,9 @@
 
 // ---- Streams ----
 
-// Seen as a lost request: "d", the first letter of an event, had begun the answer, and with the connection it
-// broke off. An attempt belongs to its client from the first event on, which has to be whole for that.
-TEST_CASE("Crossing: an answer that breaks within its first event has not begun") {
+// The letter "d" of an incomplete event used to begin the client's answer, which then broke off with the
+// connection: the request was lost. The answer must begin with the first complete event.
+TEST_CASE("Crossing: an answer that breaks off within its first event has not begun") {
   for (const char* part :
        {"d", "data: {\"choices\":", "data: 1\n", ": a comment\n\n", ": a comment\n\ndata"}) {
     CAPTURE(part);
@@ -385,13 +398,13 @@
       if (!request) return;
       seen.add("breaks");
       wire.send(stream_head() + chunk(part));
-      std::this_thread::sleep_for(50ms);  // these bytes are read before the reset, which would destroy them
+      std::this_thread::sleep_for(50ms);  // lets the program read these bytes before the reset discards them
       wire.reset();
     });
-    Peer serves(serving(seen));
+    Peer serves(serve_requests(seen));
     Platform platform({{"b", "mixto", breaks.address()}});
     REQUIRE(platform.watches.wait_for("GET /api/targets?follow=1&since=1 HTTP/1.1"));
-    // One that may run twice is made anew elsewhere, and its client gets that answer alone.
+    // A request that may run twice is retried elsewhere, and the client gets only that answer.
     const auto client = platform.connect();
     client->send(client_request("safe", "consulta", 5000, 100));
     REQUIRE(seen.wait_for("breaks"));
@@ -402,7 +415,7 @@
   }
 }
 
-TEST_CASE("Crossing: what must not be repeated and breaks within its first event is answered as failed") {
+TEST_CASE("Crossing: a request that must not be repeated and breaks off within its first event fails") {
   Record seen;
   Peer breaks([&](Wire& wire) {
     if (!wire.receive()) return;
@@ -415,14 +428,13 @@
   const std::string answer = platform.ask(client_request("unsafe", "ajuste", 5000, 100));
   CHECK(answer.starts_with("HTTP/1.1 5"));
   CHECK_FALSE(answer.starts_with("HTTP/1.1 503"));
-  CHECK(has(answer, "Content-Length: "));
+  CHECK(contains_text(answer, "Content-Length: "));
   CHECK(seen.count("breaks") == 1);
 }
 
-TEST_CASE(
-    "Crossing: a first event that comes byte by byte, and what follows it, reach the client unchanged") {
+TEST_CASE("Crossing: a first event that arrives byte by byte, and what follows, reach the client unchanged") {
   const std::string stream = ": hello\r\n\r\ndata: 1\r\n\r\ndata: 2\n\ndata: [DONE]\n\n";
-  Peer box([&](Wire& wire) {
+  Peer instance([&](Wire& wire) {
     if (!wire.receive()) return;
     wire.send(stream_head());
     for (const char byte : stream) {
@@ -431,7 +443,7 @@
     }
     wire.send("0\r\n\r\n");
   });
-  Platform platform({{"w", "mixto", box.address()}});
+  Platform platform({{"w", "mixto", instance.address()}});
   const auto client = platform.connect();
   client->send(client_request("pieces", "consulta", 5000, 100));
   CHECK(client->receive_head().status() == 200);
@@ -446,21 +458,22 @@
   CHECK(body == stream);
 }
 
-TEST_CASE("Crossing: each event passes within 0.3 s, cut in two or not, while others flood and leave") {
+TEST_CASE(
+    "Crossing: each event is forwarded within 0.3 s, even if split, while other clients flood and leave") {
   Record seen;
   constexpr int kEvents = 20;
-  Peer box([&](Wire& wire) {
+  Peer instance([&](Wire& wire) {
     if (!wire.receive()) return;
     wire.send(stream_head());
     for (int i = 0; i < kEvents; ++i) {
       const std::string text = chunk("data: " + std::to_string(i) + "\n\n");
-      wire.send(text.substr(0, 2));  // in the line that says its size
+      wire.send(text.substr(0, 2));  // within the chunk-size line
       wire.send(text.substr(2));
       if (!seen.wait_for("has " + std::to_string(i))) return;
     }
     wire.send("0\r\n\r\n");
   });
-  Platform platform({{"w", "mixto", box.address()}});
+  Platform platform({{"w", "mixto", instance.address()}});
   std::atomic<bool> ending{false};
   std::thread flood([&] {
     for (int i = 0; i < 300 && !ending; ++i) {
@@ -474,7 +487,7 @@
   for (int i = 0; i + 1 < kEvents; ++i) {
     const auto asked = std::chrono::steady_clock::now();
     seen.add("has " + std::to_string(i));
-    CHECK(has(client->receive_until("data: " + std::to_string(i + 1) + "\n\n"), "data: "));
+    CHECK(contains_text(client->receive_until("data: " + std::to_string(i + 1) + "\n\n"), "data: "));
     CHECK(std::chrono::steady_clock::now() - asked < 300ms);
   }
   seen.add("has " + std::to_string(kEvents - 1));
@@ -485,10 +498,9 @@
 
 // ---- Other settings ----
 
-TEST_CASE(
-    "Crossing: settings that are missing, zero or very short are served, by whatever effect a class has") {
+TEST_CASE("Crossing: missing, zero or very short settings are served for every effect of a class") {
   Record seen;
-  Peer box(serving(seen));
+  Peer instance(serve_requests(seen));
   const auto site = [](const std::string& pointer, const nlohmann::json& value) {
     nlohmann::json settings = site_settings();
     settings[nlohmann::json::json_pointer(pointer)] = value;
@@ -521,14 +533,14 @@
     sites.push_back(settings);
   }
   nlohmann::json refused = Platform({}).config();
-  refused["settings"] = site("/categories/0/targetS", 0.0);  // in no time nothing can be wanted
+  refused["settings"] = site("/categories/0/targetS", 0.0);  // a target time of zero is invalid
   const std::string file = temporary_file(refused.dump());
   Program check({"check-config"}, {{"PROXY_CONFIG", file}, {"PROXY_DISCOVERY", refused["discovery"]}});
   CHECK(check.wait() == 2);
-  CHECK(has(check.output(), "targetS"));
+  CHECK(contains_text(check.output(), "targetS"));
   for (std::size_t i = 0; i < sites.size(); ++i) {
     CAPTURE(sites[i].dump());
-    Platform platform({{"w", "mixto", box.address()}}, sites[i]);
+    Platform platform({{"w", "mixto", instance.address()}}, sites[i]);
     const std::string name = "o" + std::to_string(i);
     CHECK(platform.ask(client_request(name, "consulta", 3000, 100)).starts_with("HTTP/1.1 200"));
     CHECK(seen.count(name) == 1);
--- a/tests/stories/evhttp_stories.cpp
+++ b/tests/stories/evhttp_stories.cpp
@@ -1,6 +1,5 @@
-// What evhttp does and does not tell, measured. The server side is built on it with one addition, instances
-// are spoken to over bufferevents instead: these are the reasons, and should a later libevent change them,
-// they fail.
+// Properties of evhttp that rule it out for HttpServer and InstancePool, which use bufferevents instead.
+// These tests fail if a later libevent changes them.
 #include <catch2/catch.hpp>
 #include <chrono>
 
@@ -21,8 +20,8 @@
 
 using ClientPtr = std::unique_ptr<evhttp_connection, net::Freed<evhttp_connection_free>>;
 
-struct Heard {
-  int answers = 0;  // calls with a response
+struct Results {
+  int answers = 0;  // callbacks with a response
   std::vector<evhttp_request_error> errors;
 };
 
@@ -31,15 +30,15 @@
                                                           static_cast<std::uint16_t>(port)));
 }
 
-void post(evhttp_connection* connection, Heard& heard, std::size_t bytes) {
+void post(evhttp_connection* connection, Results& results, std::size_t bytes) {
   evhttp_request* request = evhttp_request_new(
       [](evhttp_request* answer, void* self) {
         if (answer != nullptr && evhttp_request_get_response_code(answer) != 0)
-          ++static_cast<Heard*>(self)->answers;
+          ++static_cast<Results*>(self)->answers;
       },
-      &heard);
+      &results);
   evhttp_request_set_error_cb(request, [](evhttp_request_error error, void* self) {
-    static_cast<Heard*>(self)->errors.push_back(error);
+    static_cast<Results*>(self)->errors.push_back(error);
   });
   evhttp_add_header(evhttp_request_get_output_headers(request), "Host", "x");
   const std::string body(bytes, 'x');
@@ -49,7 +48,7 @@
 
 }  // namespace
 
-TEST_CASE("evhttp's server alone does not notice that a client has gone while its answer is pending") {
+TEST_CASE("evhttp's server does not notice that a client has closed while its response is pending") {
   net::Loop loop;
   const std::unique_ptr<evhttp, net::Freed<evhttp_free>> http(evhttp_new(loop.base()));
   static bool taken, closed;
@@ -76,7 +75,7 @@
   CHECK_FALSE(closed);
 }
 
-TEST_CASE("HttpServer notices at once, for it asks the loop for the end of the client's side") {
+TEST_CASE("HttpServer notices at once that a client has closed") {
   net::Loop loop;
   std::unique_ptr<net::Incoming> pending;
   bool gone = false;
@@ -101,9 +100,9 @@
   CHECK(server.connections() == 0);
 }
 
-TEST_CASE("evhttp's client words a request that never left like one that may have run") {
+TEST_CASE("evhttp's client reports the same error for a request never sent and one that may have run") {
   net::Loop loop;
-  Heard unwritten, written;
+  Results unwritten, written;
   Peer stuck(
       [](Wire& wire) {
         std::this_thread::sleep_for(100ms);
--- a/tests/stories/held_up_stories.cpp
+++ b/tests/stories/held_up_stories.cpp
@@ -1,6 +1,6 @@
-// What a loop does that was held up: it hears of limits before it hears of the bytes that came within them,
-// for it is told of a few dozen connections in a turn. Two timers that strike in one turn, and this, cannot
-// be forced from outside a process, so the stories run the loop themselves and hold it up.
+// Behaviour of a delayed event loop. After a delay, expired timers run before input that arrived in time,
+// because the loop handles a few dozen connections per iteration. Neither this nor two timers that expire in
+// one iteration can be forced from outside the process, so these tests run the loop themselves and delay it.
 #include <catch2/catch.hpp>
 #include <memory>
 #include <optional>
@@ -24,8 +24,8 @@
 
 std::string get_head() { return "GET / HTTP/1.1\r\nHost: instance\r\n\r\n"; }
 
-struct Ending : net::Exchange::Events {
-  explicit Ending(net::Loop& loop) : loop(loop) {}
+struct ExchangeEnd : net::Exchange::Events {
+  explicit ExchangeEnd(net::Loop& loop) : loop(loop) {}
   bool may_write() override { return true; }
   void on_written() override {}
   void on_body(std::string) override {}
@@ -40,7 +40,7 @@
 }  // namespace
 
 TEST_CASE(
-    "Pool: a kept connection's rest ends in the turn of the loop that takes it: the request is served") {
+    "Pool: a request is served even if the idle timeout of its connection expires in the same iteration") {
   Record seen;
   Peer instance([&seen](Wire& wire) {
     seen.add("connection");
@@ -52,36 +52,36 @@
   constexpr core::Duration kIdle = 100ms;
   net::Loop loop;
   net::InstancePool pool(loop, {.idle = kIdle});
-  const auto get = [&](Ending& ending) {
+  const auto get = [&](ExchangeEnd& ending) {
     return std::make_unique<net::Exchange>(pool, instance.address(), get_head, nullptr, kAnyConnection,
                                            ending);
   };
 
-  Ending first(loop), second(loop);
+  ExchangeEnd first(loop), second(loop);
   std::unique_ptr<net::Exchange> exchange = get(first);
   loop.run();
   REQUIRE(first.whole == true);
   exchange.reset();
   REQUIRE(pool.open() == 1);
 
-  // The loop is held up until both the next request's time and the rest's end are past; they strike in order.
+  // Delays the loop until the second request and the idle timeout are both due; they then run in order.
   const core::Time kept = loop.now();
   const auto asked = loop.at(kept + kIdle / 2, [&] { exchange = get(second); });
-  const auto held_up = loop.at(kept + kIdle / 4, [&] { std::this_thread::sleep_for(kIdle * 2); });
-  const auto hangs = loop.at(kept + 5s, [&] { loop.stop(); });
+  const auto delay = loop.at(kept + kIdle / 4, [&] { std::this_thread::sleep_for(kIdle * 2); });
+  const auto test_limit = loop.at(kept + 5s, [&] { loop.stop(); });
   loop.run();
   CHECK(second.whole == true);
   CHECK(exchange->response().status() == 200);
   CHECK(seen.all() == std::vector<std::string>{"connection", "GET / HTTP/1.1", "GET / HTTP/1.1"});
 }
 
-TEST_CASE("Pool: dials that come up while the loop is held up past their limit are used") {
+TEST_CASE("Pool: connections established while the loop is delayed beyond the connect timeout are used") {
   Peer instance([](Wire& wire) {
     while (wire.receive()) wire.send(simple("200 OK", "ok"));
   });
   constexpr core::Duration kConnect = 50ms;
-  constexpr int kRequests = 60;  // more than the loop is told of in one turn, fewer than a listener's queue
-  struct Served : net::Exchange::Events {
+  constexpr int kRequests = 60;  // more than the loop reports per iteration, fewer than a listener's backlog
+  struct CountingEvents : net::Exchange::Events {
     bool may_write() override { return true; }
     void on_written() override {}
     void on_body(std::string) override {}
@@ -110,7 +110,7 @@
   CHECK(served.whole == kRequests);
 }
 
-TEST_CASE("Server: requests that come while the loop is held up past their time are answered") {
+TEST_CASE("Server: requests that arrive while the loop is delayed beyond the request timeout are answered") {
   constexpr auto kRequestTime = 2500ms;
   constexpr int kClients = 200;
   net::Loop loop;
@@ -120,7 +120,7 @@
       net::ServerLimits{});
   std::vector<std::unique_ptr<Wire>> clients;
   for (int i = 0; i < kClients; ++i) clients.push_back(Wire::to(address));
-  const auto held_up = loop.at(loop.now() + 50ms, [&] {
+  const auto delay = loop.at(loop.now() + 50ms, [&] {
     std::this_thread::sleep_for(kRequestTime);
     for (const auto& client : clients) client->send("GET / HTTP/1.1\r\nConnection: close\r\n\r\n");
   });
@@ -131,18 +131,20 @@
   CHECK(answered == kClients);
 }
 
-// It was worded before the dial: an instance that came up late heard of time that had passed.
-TEST_CASE("Attempt: an instance is told what its client has left at the first byte, not before the dial") {
-  constexpr core::Duration kLeft = 2s, kHeldUp = 400ms;
-  Record told;
-  Peer instance([&told](Wire& wire) {
+// The header used to be written before the connect, so an instance that was reached late was given time that
+// had already passed.
+TEST_CASE(
+    "Attempt: the remaining time sent to an instance is that at the first byte, not before the connect") {
+  constexpr core::Duration kTimeLeft = 2s, kDelay = 400ms;
+  Record received;
+  Peer instance([&received](Wire& wire) {
     const auto request = wire.receive();
     if (!request) return;
-    told.add(request->headers.at("x-remaining-ms"));
+    received.add(request->headers.at("x-remaining-ms"));
     wire.send(events({"[DONE]"}));
   });
-  struct Served : core::AttemptEvents {
-    explicit Served(net::Loop& l) : loop(l) {}
+  struct CountingEvents : core::AttemptEvents {
+    explicit CountingEvents(net::Loop& l) : loop(l) {}
     void on_written() override {}
     void on_data(std::string) override {}
     void on_ended(core::AttemptResult result) override {
@@ -153,7 +155,7 @@
     core::Verdict verdict = core::Verdict::broken;
   };
   net::Loop loop;
-  Served served(loop);
+  CountingEvents served(loop);
   net::InstanceClient client(loop, {.connect = 2s}, net::Dialect::platform);
   auto payload = std::make_shared<core::Payload>();
   payload->id = "a";
@@ -162,19 +164,19 @@
   std::unique_ptr<core::Attempt> attempt;
   const auto asked = loop.at(loop.now(), [&] {
     attempt = client.start(
-        {1, "w", instance.address()}, payload, loop.now() + kLeft, kAnyConnection, [] { return true; },
+        {1, "w", instance.address()}, payload, loop.now() + kTimeLeft, kAnyConnection, [] { return true; },
         served);
-    std::this_thread::sleep_for(kHeldUp);  // the dial's end is heard only after this
+    std::this_thread::sleep_for(kDelay);  // the connect is reported only after this
   });
   loop.run();
   CHECK(served.verdict == core::Verdict::served);
-  REQUIRE(told.all().size() == 1);
-  const core::Duration remaining = std::chrono::milliseconds(std::stoi(told.all().front()));
-  CHECK(remaining <= kLeft - kHeldUp);
+  REQUIRE(received.all().size() == 1);
+  const core::Duration remaining = std::chrono::milliseconds(std::stoi(received.all().front()));
+  CHECK(remaining <= kTimeLeft - kDelay);
   CHECK(remaining >= 500ms);
 }
 
-TEST_CASE("Server: a client's close is known from the system though the loop has not told of it") {
+TEST_CASE("Server: a client's close is detected through the kernel before the loop has reported it") {
   net::Loop loop;
   const std::string address = own_address();
   std::unique_ptr<net::Incoming> request;
@@ -190,7 +192,7 @@
   loop.run();
   REQUIRE(request != nullptr);
   CHECK_FALSE(request->client_closed());
-  client->send("GET /next HTTP/1.1\r\n\r\n");  // its end lies behind bytes that nobody has read
+  client->send("GET /next HTTP/1.1\r\n\r\n");  // the client's close follows input that nobody has read
   CHECK_FALSE(request->client_closed());
   client.reset();
   CHECK(request->client_closed());
--- a/tests/stories/peers.cpp
+++ b/tests/stories/peers.cpp
@@ -39,7 +39,8 @@
   if (receive_buffer > 0) setsockopt(socket, SOL_SOCKET, SO_RCVBUF, &receive_buffer, sizeof receive_buffer);
   sockaddr_in address = socket_address("127.0.0.1:0");
   socklen_t size = sizeof address;
-  if (bind(socket, reinterpret_cast<sockaddr*>(&address), size) != 0) throw std::runtime_error("bind");
+  if (bind(socket, reinterpret_cast<sockaddr*>(&address), size) != 0)
+    throw std::runtime_error("cannot bind a loopback socket");
   getsockname(socket, reinterpret_cast<sockaddr*>(&address), &size);
   port = ntohs(address.sin_port);
   return socket;
@@ -68,14 +69,14 @@
 void Wire::send(const std::string& bytes) const {
   for (std::size_t sent = 0; sent < bytes.size();) {
     const ssize_t now = ::send(socket_, bytes.data() + sent, bytes.size() - sent, MSG_NOSIGNAL);
-    if (now <= 0) return;  // the other side has left; the story sees that elsewhere
+    if (now <= 0) return;  // the other side has closed; tests detect that elsewhere
     sent += std::size_t(now);
   }
 }
 
-bool Wire::more() {
+bool Wire::receive_more() {
   pollfd ready{socket_, POLLIN, 0};
-  if (poll(&ready, 1, 10000) <= 0) return false;  // a story that hangs fails instead
+  if (poll(&ready, 1, 10000) <= 0) return false;  // a test that hangs fails instead
   char bytes[4096];
   const ssize_t got = recv(socket_, bytes, sizeof bytes, 0);
   if (got <= 0) return false;
@@ -86,7 +87,7 @@
 std::string Wire::receive_until(const std::string& end) {
   std::size_t at = 0;
   while ((at = buffer_.find(end)) == std::string::npos) {
-    if (!more()) return std::exchange(buffer_, {});
+    if (!receive_more()) return std::exchange(buffer_, {});
   }
   std::string result = buffer_.substr(0, at + end.size());
   buffer_.erase(0, at + end.size());
@@ -94,7 +95,7 @@
 }
 
 std::string Wire::receive_all() {
-  while (more()) {
+  while (receive_more()) {
   }
   return std::exchange(buffer_, {});
 }
@@ -128,7 +129,7 @@
 }
 
 std::string Wire::receive_bytes(std::size_t count) {
-  while (buffer_.size() < count && more()) {
+  while (buffer_.size() < count && receive_more()) {
   }
   std::string result = buffer_.substr(0, count);
   buffer_.erase(0, count);
@@ -143,7 +144,7 @@
 bool Wire::reset_within(int ms) const {
   const auto until = std::chrono::steady_clock::now() + std::chrono::milliseconds(ms);
   while (std::chrono::steady_clock::now() < until) {
-    // Waits for errors alone: that the other side says no more has been told already.
+    // Polls for errors only, because the other side's half-close would make the socket readable throughout.
     pollfd ended{socket_, 0, 0};
     if (poll(&ended, 1, 10) > 0 && (ended.revents & POLLERR) != 0) return true;
   }
@@ -151,14 +152,14 @@
 }
 
 void Wire::close() {
-  const std::lock_guard lock(closing_);
+  const std::lock_guard lock(socket_mutex_);
   if (socket_ >= 0) ::close(std::exchange(socket_, -1));
 }
 
 void Wire::half_close() const { shutdown(socket_, SHUT_WR); }
 
 void Wire::interrupt() {
-  const std::lock_guard lock(closing_);
+  const std::lock_guard lock(socket_mutex_);
   if (socket_ >= 0) shutdown(socket_, SHUT_RDWR);
 }
 
@@ -170,7 +171,8 @@
 
 Peer::Peer(Script script, int receive_buffer) : script_(std::move(script)) {
   listener_ = bound_socket(port_, receive_buffer);
-  // A queue as servers have: a hundred dials at once overflow a short one, and the kernel drops them unseen.
+  // The backlog of a real server: a hundred simultaneous connects overflow a short one, and the kernel drops
+  // them silently.
   listen(listener_, SOMAXCONN);
   thread_ = std::thread([this] { accept_all(); });
 }
@@ -226,7 +228,7 @@
 Program::Program(std::vector<std::string> arguments, const std::map<std::string, std::string>& environment)
     : path_(temporary_file("")) {
   std::vector<std::string> variables;
-  // Ours first: of two of one name the first counts.
+  // The given variables come first: of two with the same name, the first one counts.
   for (const auto& [name, value] : environment) variables.push_back(name + "=" + value);
   for (char** variable = environ; *variable != nullptr; ++variable) variables.emplace_back(*variable);
   const char* other = std::getenv("BANKMUX_BINARY");
@@ -270,7 +272,7 @@
   if (ended) pid_ = 0;
   throw std::runtime_error("the program does not serve at " + address + ", and " +
                            (ended ? "has ended with status " + std::to_string(status) : "still runs") +
-                           "; it said:\n" + output());
+                           "; its output:\n" + output());
 }
 
 void Program::send_signal(int number) const { kill(pid_, number); }
@@ -292,7 +294,7 @@
   static int given = 0;
   const int pid = getpid();
   ++given;
-  // Connections that go out leave from 127.0.0.1, so nothing else takes these ports.
+  // Outgoing connections use the source address 127.0.0.1, so no other socket takes these ports.
   return "127." + std::to_string(64 + pid / 250 % 128) + "." + std::to_string(pid % 250) + "." +
          std::to_string(1 + given % 250) + ":" + std::to_string(7000 + given / 250);
 }
@@ -303,7 +305,8 @@
   const std::size_t colon = address.find(':');
   ip.sin_port = htons(std::uint16_t(std::stoi(address.substr(colon + 1))));
   inet_pton(AF_INET, address.substr(0, colon).c_str(), &ip.sin_addr);
-  const int socket = ::socket(AF_INET, SOCK_STREAM, 0);  // not closed by exec: it is to be inherited
+  // Without SOCK_CLOEXEC, to be inherited by the program.
+  const int socket = ::socket(AF_INET, SOCK_STREAM, 0);
   if (bind(socket, reinterpret_cast<sockaddr*>(&ip), sizeof ip) != 0 || listen(socket, 128) != 0) {
     throw std::runtime_error("cannot listen at " + address);
   }
@@ -315,7 +318,7 @@
   std::string path = std::string(folder != nullptr ? folder : "/tmp") + "/bankmux-test-XXXXXX";
   const int file = mkstemp(path.data());
   if (file < 0 || write(file, content.data(), content.size()) != ssize_t(content.size())) {
-    throw std::runtime_error("no temporary file");
+    throw std::runtime_error("cannot create a temporary file");
   }
   ::close(file);
   files.paths.push_back(path);
--- a/tests/stories/peers.hpp
+++ b/tests/stories/peers.hpp
@@ -1,5 +1,5 @@
-// Scripted peers over loopback sockets, and the program itself as a child process. A peer runs its script
-// once for each connection, in a thread of its own; scripts speak plain blocking sockets.
+// Scripted peers over loopback sockets, and the program as a child process. A peer runs its script once per
+// connection, in a thread of its own, on blocking sockets.
 #pragma once
 
 #include <sys/types.h>
@@ -33,27 +33,27 @@
   Wire& operator=(const Wire&) = delete;
 
   void send(const std::string& bytes) const;
-  // One message with its body by length; nothing once the other side has closed.
+  // Receives one message with a body framed by Content-Length; empty if the other side has closed.
   std::optional<Message> receive();
-  // The head alone, then what follows up to `end`, or up to the close where that never comes.
+  // Receive the head only; everything up to and including `end`, or up to the close; everything up to the
+  // close.
   Message receive_head();
   std::string receive_until(const std::string& end);
   std::string receive_all();
-  // So many bytes, or what came before the close.
+  // Receives `count` bytes, or what arrived before the close.
   std::string receive_bytes(std::size_t count);
-  // Whether the other side closes within the time.
+  // Whether the other side closes or shuts down its sending side within the time.
   [[nodiscard]] bool closed_within(int ms) const;
-  // Whether the other side resets the connection within the time, as one does that closes it with bytes
-  // unread.
+  // Whether the other side resets the connection within the time, as a close with unread input does.
   [[nodiscard]] bool reset_within(int ms) const;
   void close();
-  void reset();             // so that the other side sees a reset
-  void half_close() const;  // this side says no more, and reads on
-  void interrupt();         // ends all waiting, from any thread
+  void reset();             // closes so that the other side sees a reset
+  void half_close() const;  // shuts down the sending side only
+  void interrupt();         // ends all waiting calls; callable from any thread
 
  private:
-  bool more();
-  std::mutex closing_;
+  bool receive_more();
+  std::mutex socket_mutex_;
   int socket_;
   std::string buffer_;
 };
@@ -80,7 +80,7 @@
   std::thread thread_;
 };
 
-// What peers saw, in order; waits for it.
+// Thread-safe list of the events that peers observed, in order, with waiting for an event.
 class Record {
  public:
   void add(const std::string& what);
@@ -95,24 +95,24 @@
   std::vector<std::string> seen_;
 };
 
-// The program as a child process ($BANKMUX_BINARY where set, for measurements of another build); killed at
-// the end of a story that has not ended it.
+// The program as a child process, or the one named by $BANKMUX_BINARY to measure another build. It is killed
+// by the destructor if it is still running.
 class Program {
  public:
   Program(std::vector<std::string> arguments, const std::map<std::string, std::string>& environment);
   ~Program();
   Program(const Program&) = delete;
   Program& operator=(const Program&) = delete;
-  // Waits until something listens at the address.
+  // Waits until something listens at the address; false after 10 s.
   [[nodiscard]] static bool listens(const std::string& address);
-  // The same for this program; throws with what it said where it has ended instead, or never listens.
+  // The same for this program. Throws std::runtime_error with its output if it has ended or does not listen.
   void expect_listening(const std::string& address);
   void send_signal(int number) const;
   void terminate() const;
   [[nodiscard]] pid_t pid() const { return pid_; }
-  // Its exit code, once it has ended.
+  // Waits for the program to end and returns its exit code, or -1 if a signal ended it.
   int wait();
-  // What it has printed, once it has ended.
+  // Output so far on standard output and standard error.
   [[nodiscard]] std::string output() const;
 
  private:
@@ -120,11 +120,11 @@
   std::string path_;
 };
 
-// An address for the program to listen at: loopback, of this test process alone, never given twice.
+// A loopback address for the program to listen at, unique within the test process and to it.
 std::string own_address();
-// A socket that listens there and that programs started from now on inherit.
+// A socket that listens at the address and is inherited by programs started from now on.
 int listening_socket(const std::string& address);
-// Writes a file that is gone at the end of the test program.
+// Creates a file that is deleted when the test process ends.
 std::string temporary_file(const std::string& content);
 
 }  // namespace stories
--- a/tests/stories/platform_stories.cpp
+++ b/tests/stories/platform_stories.cpp
@@ -1,4 +1,5 @@
-// The platform's protocol, one story for each way in which it can go wrong. No bench.
+// End-to-end tests of the platform protocol: each provokes one kind of failure between clients, conductor,
+// instances and discovery.
 #include <atomic>
 #include <catch2/catch.hpp>
 #include <csignal>
@@ -9,10 +10,12 @@
 
 namespace {
 
-bool has(const std::string& text, const std::string& part) { return text.find(part) != std::string::npos; }
+bool contains_text(const std::string& text, const std::string& part) {
+  return text.find(part) != std::string::npos;
+}
 
-// Keeps a connection and answers each request by `reply`; notes method and target.
-Peer::Script instance(Record& seen, const std::function<bool(Wire&, const Message&)>& reply) {
+// Instance that answers requests on a kept connection through `reply`, and records their method and target.
+Peer::Script scripted_instance(Record& seen, const std::function<bool(Wire&, const Message&)>& reply) {
   return [&seen, reply](Wire& wire) {
     while (const auto request = wire.receive()) {
       seen.add(request->first.substr(0, request->first.rfind(' ')));
@@ -25,44 +28,47 @@
   };
 }
 
-// After which a connection that was kept carries another request.
-constexpr std::chrono::milliseconds kSettled{60};
+// Time after which a kept connection may be reused by any request.
+constexpr std::chrono::milliseconds kReusableAfter{60};
 
 const std::string kChat = "POST /v1/chat/completions?v=2";
 
 }  // namespace
 
-TEST_CASE("A request is read at a reader, its place held ahead, and answered by a writer, unchanged") {
+TEST_CASE(
+    "A request is prefilled, its decode instance claimed early, and decoded, with its content unchanged") {
   Record seen;
-  Message read, written;
-  Peer reader(instance(seen, [&](Wire& wire, const Message& m) {
-    read = m;
-    if (!seen.wait_for("POST /bootstrap/rooms/t1")) return false;  // the place is asked for while it reads
+  Message prefill_request, decode_request;
+  Peer prefill_instance(scripted_instance(seen, [&](Wire& wire, const Message& m) {
+    prefill_request = m;
+    if (!seen.wait_for("POST /bootstrap/rooms/t1")) return false;  // the claim is sent during the prefill
     wire.send(simple("202 Accepted", "{\"cached_tokens\":0}"));
     return true;
   }));
-  Peer writer(instance(seen, [&](Wire& wire, const Message& m) {
+  Peer decode_instance(scripted_instance(seen, [&](Wire& wire, const Message& m) {
     if (m.first.starts_with("POST /bootstrap")) {
       wire.send(simple("200 OK"));
     } else {
-      written = m;
+      decode_request = m;
       wire.send(events({"{\"x\":1}", "[DONE]"}));
     }
     return true;
   }));
   nlohmann::json site = site_settings();
-  site["categories"][0]["targetS"] = 0.1;  // the read takes most of it, so that a place is worth its price
-  Platform platform({{"r", "lectura", reader.address()}, {"w", "escritura", writer.address()}}, site);
+  // The prefill takes most of the target, so that claiming early pays off.
+  site["categories"][0]["targetS"] = 0.1;
+  Platform platform(
+      {{"r", "lectura", prefill_instance.address()}, {"w", "escritura", decode_instance.address()}}, site);
   const std::string body = "{\"model\":\"chat\", \"odd\":  [1,\t2]}";
   const std::string answer =
       platform.ask(client_request("t1", "consulta", 5000, 3000, "X-Own: a b  c\r\n", body));
   CHECK(answer.starts_with("HTTP/1.1 200"));
-  CHECK(has(answer, "data: {\"x\":1}\n\n"));
+  CHECK(contains_text(answer, "data: {\"x\":1}\n\n"));
   CHECK(answer.ends_with("0\r\n\r\n"));
   CHECK(seen.count(kChat) == 2);
   CHECK(seen.count("POST /bootstrap/rooms/t1") == 1);
   CHECK(seen.all().size() == 3);
-  for (const Message& m : {read, written}) {
+  for (const Message& m : {prefill_request, decode_request}) {
     CHECK(m.body == body);
     CHECK(m.headers.at("x-txn") == "t1");
     CHECK(m.headers.at("x-own") == "a b  c");
@@ -70,17 +76,18 @@
   }
 }
 
-// All told under the first tenant's name, the others would go beyond its share and wait behind everyone.
-TEST_CASE("X-Org tells the tenant by the name that the settings give it") {
+// Guards against requests of all tenants counting under the first tenant's name: they would exceed its share
+// and be queued behind all others.
+TEST_CASE("X-Org selects the tenant by its name in the settings") {
   Record seen;
-  Peer writer(instance(seen, [&](Wire& wire, const Message&) {
+  Peer decode_instance(scripted_instance(seen, [&](Wire& wire, const Message&) {
     wire.send(events({"{\"x\":1}", "[DONE]"}));
     return true;
   }));
   nlohmann::json settings = site_settings();
   settings["tenants"] = {{{"name", "first"}, {"quotaRps", 9.0}, {"fraction", 0.5}},
                          {{"name", "second"}, {"quotaRps", 9.0}, {"fraction", 0.5}}};
-  Platform platform({{"w", "escritura", writer.address()}}, settings);
+  Platform platform({{"w", "escritura", decode_instance.address()}}, settings);
   for (const char* org : {"second", "first", "nobody"}) {
     CHECK(platform.ask(client_request(org, "consulta", 5000, 100, std::string("X-Org: ") + org + "\r\n"))
               .starts_with("HTTP/1.1 200"));
@@ -90,22 +97,24 @@
   platform.program().terminate();
   platform.program().wait();
   const std::string log = platform.program().output();
-  for (const char* told : {"\"second\"", "\"first\"", "2"}) {  // the last has no share
-    CHECK(has(log, "\"tenant\":" + std::string(told)));
+  for (const char* expected :
+       {"\"second\"", "\"first\"", "2"}) {  // the last one is the index without a share
+    CHECK(contains_text(log, "\"tenant\":" + std::string(expected)));
   }
 }
 
-TEST_CASE("A client that leaves while its read is out ends the read at once, and its state is let go") {
+TEST_CASE("A client that leaves during the prefill ends it at once, and the held KV cache is released") {
   Record seen;
-  Peer reader(instance(seen, [&](Wire& wire, const Message&) {
+  Peer prefill_instance(scripted_instance(seen, [&](Wire& wire, const Message&) {
     if (wire.closed_within(3000)) seen.add("read ended");
     return false;
   }));
-  Peer writer(instance(seen, [](Wire& wire, const Message&) {
+  Peer decode_instance(scripted_instance(seen, [](Wire& wire, const Message&) {
     wire.send(simple("409 Conflict"));
     return true;
   }));
-  Platform platform({{"r", "lectura", reader.address()}, {"w", "escritura", writer.address()}});
+  Platform platform(
+      {{"r", "lectura", prefill_instance.address()}, {"w", "escritura", decode_instance.address()}});
   const auto client = platform.connect();
   client->send(client_request("t2", "ajuste", 5000, 3000));
   REQUIRE(seen.wait_for(kChat));
@@ -115,9 +124,9 @@
   CHECK(seen.count(kChat) == 1);
 }
 
-TEST_CASE("An ajuste that may have run is not sent again, also not on a connection that was kept") {
+TEST_CASE("An ajuste that may have run is not retried, even if a kept connection broke") {
   Record seen;
-  Peer writer(instance(seen, [&](Wire& wire, const Message&) {
+  Peer decode_instance(scripted_instance(seen, [&](Wire& wire, const Message&) {
     if (seen.count(kChat) == 1) {
       wire.send(events({"[DONE]"}));
       return true;
@@ -125,14 +134,14 @@
     wire.reset();
     return false;
   }));
-  Platform platform({{"w", "mixto", writer.address()}});
+  Platform platform({{"w", "mixto", decode_instance.address()}});
   CHECK(platform.ask(client_request("t3", "ajuste", 5000, 100)).starts_with("HTTP/1.1 200"));
-  std::this_thread::sleep_for(kSettled);
+  std::this_thread::sleep_for(kReusableAfter);
   CHECK(platform.ask(client_request("t4", "ajuste", 5000, 100)).starts_with("HTTP/1.1 502"));
   CHECK(seen.count(kChat) == 2);
 }
 
-TEST_CASE("A consulta is tried at another instance after a reset") {
+TEST_CASE("A consulta is retried at another instance after a reset") {
   Record seen;
   const auto reply = [&](Wire& wire, const Message&) {
     if (seen.count(kChat) == 1) {
@@ -142,15 +151,15 @@
     wire.send(events({"[DONE]"}));
     return true;
   };
-  Peer one(instance(seen, reply)), two(instance(seen, reply));
+  Peer one(scripted_instance(seen, reply)), two(scripted_instance(seen, reply));
   Platform platform({{"w1", "mixto", one.address()}, {"w2", "mixto", two.address()}});
   CHECK(platform.ask(client_request("t5", "consulta", 5000, 100)).starts_with("HTTP/1.1 200"));
   CHECK(seen.count(kChat) == 2);
 }
 
-TEST_CASE("An ajuste whose last byte was never written never ran, and may go elsewhere") {
+TEST_CASE("An ajuste whose last byte was never written has not run and is retried elsewhere") {
   Record seen;
-  // This one's buffers hold less than the request; it reads nothing and breaks off.
+  // Its socket buffers are smaller than the request; it reads nothing and then resets the connection.
   Peer stuck(
       [&](Wire& wire) {
         std::this_thread::sleep_for(std::chrono::milliseconds(300));
@@ -158,56 +167,56 @@
         wire.reset();
       },
       4096);
-  Peer well(instance(seen, [](Wire& wire, const Message&) {
+  Peer well(scripted_instance(seen, [](Wire& wire, const Message&) {
     wire.send(events({"[DONE]"}));
     return true;
   }));
   Platform platform({{"w1", "mixto", stuck.address()}});
   const auto client = platform.connect();
-  // Larger than what both sides of the connection buffer.
+  // Larger than the socket buffers of both sides together.
   client->send(client_request("t6", "ajuste", 8000, 100, "", std::string(250 * 1024, 'x')));
   platform.push(Platform::line(2, false, {{"w2", "mixto", well.address()}}));
-  CHECK(has(client->receive_all(), "HTTP/1.1 200"));
+  CHECK(contains_text(client->receive_all(), "HTTP/1.1 200"));
   CHECK(seen.all() == std::vector<std::string>{"broken off", kChat});
 }
 
-TEST_CASE("A stream that breaks ends without the last chunk") {
+TEST_CASE("A stream that breaks ends without the final chunk") {
   Record seen;
-  Peer writer(instance(seen, [](Wire& wire, const Message&) {
+  Peer decode_instance(scripted_instance(seen, [](Wire& wire, const Message&) {
     wire.send(stream_head() + chunk("data: {\"x\":1}\n\n"));
     std::this_thread::sleep_for(std::chrono::milliseconds(50));
     return false;
   }));
-  Platform platform({{"w", "mixto", writer.address()}});
+  Platform platform({{"w", "mixto", decode_instance.address()}});
   const std::string answer = platform.ask(client_request("t7", "consulta", 5000, 100));
-  CHECK(has(answer, "data: {\"x\":1}\n\n"));
-  CHECK_FALSE(has(answer, "\r\n0\r\n"));
+  CHECK(contains_text(answer, "data: {\"x\":1}\n\n"));
+  CHECK_FALSE(contains_text(answer, "\r\n0\r\n"));
   CHECK(seen.count(kChat) == 1);
 }
 
-TEST_CASE("Events pass on as they come, not at the end") {
+TEST_CASE("Events are forwarded as they arrive, not at the end of the stream") {
   Record seen;
-  Peer writer(instance(seen, [&](Wire& wire, const Message&) {
+  Peer decode_instance(scripted_instance(seen, [&](Wire& wire, const Message&) {
     wire.send(stream_head() + chunk("data: one\n\n"));
     seen.wait_for("client has one");
     wire.send(chunk("data: two\n\n") + "0\r\n\r\n");
     return true;
   }));
-  Platform platform({{"w", "mixto", writer.address()}});
+  Platform platform({{"w", "mixto", decode_instance.address()}});
   const auto client = platform.connect();
   client->send(client_request("t8", "consulta", 5000, 100));
-  CHECK(has(client->receive_until("data: one\n\n"), "data: one"));
+  CHECK(contains_text(client->receive_until("data: one\n\n"), "data: one"));
   seen.add("client has one");
-  CHECK(has(client->receive_all(), "data: two\n\n"));
+  CHECK(contains_text(client->receive_all(), "data: two\n\n"));
 }
 
-TEST_CASE("With a silent instance the client gets one answer at its deadline, and the attempt is closed") {
+TEST_CASE("With a silent instance, the client gets one answer at its deadline and the attempt is closed") {
   Record seen;
-  Peer writer(instance(seen, [&](Wire& wire, const Message&) {
+  Peer decode_instance(scripted_instance(seen, [&](Wire& wire, const Message&) {
     if (wire.closed_within(5000)) seen.add("attempt closed");
     return false;
   }));
-  Platform platform({{"w", "mixto", writer.address()}});
+  Platform platform({{"w", "mixto", decode_instance.address()}});
   const auto client = platform.connect();
   client->send(client_request("t9", "ajuste", 400, 100));
   const std::string answer = client->receive_all();
@@ -217,25 +226,26 @@
   CHECK(seen.count(kChat) == 1);
 }
 
-TEST_CASE("A release is tried until it has arrived") {
+TEST_CASE("A release is retried until it is answered") {
   Record seen;
-  Peer reader([&](Wire& wire) {
+  Peer prefill_instance([&](Wire& wire) {
     const auto request = wire.receive();
     if (!request) return;
     seen.add(request->first.substr(0, request->first.find(' ')));
     if (request->first.starts_with("POST")) {
       if (wire.closed_within(3000)) seen.add("read ended");
     } else if (seen.count("DELETE") < 3) {
-      wire.reset();  // lost twice
+      wire.reset();  // the first two are lost
     } else {
       wire.send(simple("204 No Content"));
     }
   });
-  Peer writer(instance(seen, [](Wire& wire, const Message&) {
+  Peer decode_instance(scripted_instance(seen, [](Wire& wire, const Message&) {
     wire.send(simple("409 Conflict"));
     return true;
   }));
-  Platform platform({{"r", "lectura", reader.address()}, {"w", "escritura", writer.address()}});
+  Platform platform(
+      {{"r", "lectura", prefill_instance.address()}, {"w", "escritura", decode_instance.address()}});
   const auto client = platform.connect();
   client->send(client_request("t10", "consulta", 5000, 3000));
   REQUIRE(seen.wait_for("POST"));
@@ -243,44 +253,44 @@
   CHECK(seen.wait_for("DELETE", 3));
 }
 
-TEST_CASE("A refusal by full instances is passed on with advice when to come back") {
+TEST_CASE("A refusal by overloaded instances is passed on with Retry-After") {
   Record seen;
-  Peer writer(instance(seen, [](Wire& wire, const Message&) {
+  Peer decode_instance(scripted_instance(seen, [](Wire& wire, const Message&) {
     wire.send(simple("503 Service Unavailable", "", "X-Turned-Away: 1\r\n"));
     return true;
   }));
-  Platform platform({{"w", "mixto", writer.address()}});
+  Platform platform({{"w", "mixto", decode_instance.address()}});
   const std::string answer = platform.ask(client_request("t11", "ajuste", 700, 100));
   CHECK(answer.starts_with("HTTP/1.1 503"));
-  CHECK(has(answer, "Retry-After: "));
+  CHECK(contains_text(answer, "Retry-After: "));
 }
 
-TEST_CASE("What is not as the protocol says gets 400 or 413, and the program lives on") {
+TEST_CASE("Requests that violate the protocol get 400 or 413, and the program keeps serving") {
   Record seen;
-  Peer writer(instance(seen, [](Wire& wire, const Message&) {
+  Peer decode_instance(scripted_instance(seen, [](Wire& wire, const Message&) {
     wire.send(events({"[DONE]"}));
     return true;
   }));
-  Platform platform({{"w", "mixto", writer.address()}});
+  Platform platform({{"w", "mixto", decode_instance.address()}});
   const std::string good = client_request("t12", "consulta", 5000, 100);
-  const auto without = [&good](const std::string& from, const std::string& to) {
+  const auto with_replacement = [&good](const std::string& from, const std::string& to) {
     std::string text = good;
     return text.replace(text.find(from), from.size(), to);
   };
   const std::pair<const char*, std::string> bad[] = {
-      {"X-Txn", without("X-Txn: t12\r\n", "")},
-      {"X-Txn", without("X-Txn: t12", "X-Txn: ../../x")},
-      {"X-Lane", without("X-Lane: consulta", "X-Lane: other")},
-      {"X-Entity", without("X-Entity: s-t12\r\n", "")},
-      {"X-Remaining-Ms", without("X-Remaining-Ms: 5000", "X-Remaining-Ms: soon")},
-      {"X-Remaining-Ms", without("X-Remaining-Ms: 5000", "X-Remaining-Ms: -1")},
-      {"prompt_len", without("prompt_len=100", "prompt_len=99999999999999999999")},
-      {"X-Labels", without("prompt_len=100", "nonsense")},
+      {"X-Txn", with_replacement("X-Txn: t12\r\n", "")},
+      {"X-Txn", with_replacement("X-Txn: t12", "X-Txn: ../../x")},
+      {"X-Lane", with_replacement("X-Lane: consulta", "X-Lane: other")},
+      {"X-Entity", with_replacement("X-Entity: s-t12\r\n", "")},
+      {"X-Remaining-Ms", with_replacement("X-Remaining-Ms: 5000", "X-Remaining-Ms: soon")},
+      {"X-Remaining-Ms", with_replacement("X-Remaining-Ms: 5000", "X-Remaining-Ms: -1")},
+      {"prompt_len", with_replacement("prompt_len=100", "prompt_len=99999999999999999999")},
+      {"X-Labels", with_replacement("prompt_len=100", "nonsense")},
   };
   for (const auto& [name, request] : bad) {
     const std::string answer = platform.ask(request);
     CHECK(answer.starts_with("HTTP/1.1 400"));
-    CHECK(has(answer, name));
+    CHECK(contains_text(answer, name));
   }
   CHECK(platform.ask("NONSENSE\r\n\r\n").starts_with("HTTP/1.1 400"));
   CHECK(platform.ask("POST / HTTP/1.1\r\nContent-Length: minus\r\n\r\n").starts_with("HTTP/1.1 400"));
@@ -292,10 +302,10 @@
 }
 
 TEST_CASE(
-    "A drain that was told stops new work, and a broken line keeps the list, and a broken watch is opened "
-    "again") {
+    "A drain stops new work, and a malformed line leaves the list unchanged, "
+    "and a broken watch is reopened") {
   Record seen;
-  const auto noting = [&seen](const std::string& name) {
+  const auto record_requests = [&seen](const std::string& name) {
     return [&seen, name](Wire& wire) {
       while (wire.receive()) {
         seen.add(name);
@@ -303,7 +313,7 @@
       }
     };
   };
-  Peer one(noting("one")), two(noting("two"));
+  Peer one(record_requests("one")), two(record_requests("two"));
   const Platform::Instance w1{"w1", "mixto", one.address()}, w2{"w2", "mixto", two.address()};
   Platform platform({w1});
   REQUIRE(platform.watches.wait_for("GET /api/targets?follow=1&since=1 HTTP/1.1"));
@@ -311,7 +321,7 @@
   platform.push(Platform::line(2, false, {w2}));
   platform.push(Platform::line(3, false, {w1}, "DRAINING"));
   platform.push("{\"version\":4,\"full\":true,\"servers\":[{\"id\":7}]}");
-  // The line that makes no sense is asked for again, from the last version that did.
+  // After the malformed line, the watch is reopened from the last valid version.
   REQUIRE(platform.watches.wait_for("GET /api/targets?follow=1&since=3 HTTP/1.1"));
   for (int i = 0; i < 5; ++i) {
     CHECK(platform.ask(client_request("b" + std::to_string(i), "consulta", 5000, 100))
@@ -320,7 +330,7 @@
   CHECK(seen.all() == std::vector<std::string>{"one", "two", "two", "two", "two", "two"});
   platform.break_watch();
   CHECK(platform.watches.wait_for("GET /api/targets?follow=1&since=3 HTTP/1.1", 2));
-  // One of the two is there at every moment, whichever line the program has come to.
+  // At any version of the list, one of the two instances is available.
   platform.push(Platform::line(5, false, {w1}));
   platform.push(Platform::line(6, false, {w2}, "DELETED"));
   for (int i = 0; i < 100 && seen.count("one") < 2; ++i) {
@@ -331,15 +341,16 @@
   CHECK(platform.ask(client_request("d1", "consulta", 5000, 100)).starts_with("HTTP/1.1 200"));
 }
 
-// What an agent has counts as told from the moment it is back. A wait that grew with the fleet left a
-// conductor blind for 10 s after that, and it sent to a box 1.3 s past its drain's grace.
-TEST_CASE("A silent discovery is called again soon, however large the fleet, and its news counts at once") {
+// An agent's changes must take effect as soon as it is back. When the wait grew with the fleet, a conductor
+// missed changes for 10 s and sent a request to an instance 1.3 s after its drain grace.
+TEST_CASE(
+    "A silent discovery is soon called again in any size of fleet, and its changes take effect at once") {
   Record first, second;
   const auto serves = [](Wire& wire, const Message&) {
     wire.send(events({"{\"x\":1}", "[DONE]"}));
     return true;
   };
-  Peer a(instance(first, serves)), b(instance(second, serves));
+  Peer a(scripted_instance(first, serves)), b(scripted_instance(second, serves));
   nlohmann::json site = site_settings();
   site["nInstances"] = 300;
   const Platform::Instance w1{"w1", "mixto", a.address()}, w2{"w2", "mixto", b.address()};
@@ -352,7 +363,7 @@
   CHECK(platform.watches.all().size() >= 2);
   platform.push(Platform::line(2, false, {w1}, "DRAINING"));
   platform.silence(false);
-  std::this_thread::sleep_for(std::chrono::milliseconds(900));  // less than the drain's grace
+  std::this_thread::sleep_for(std::chrono::milliseconds(900));  // less than the drain grace
   for (int i = 0; i < 6; ++i) {
     CHECK(platform.ask(client_request("q" + std::to_string(i), "consulta", 5000, 100))
               .starts_with("HTTP/1.1 200"));
@@ -361,7 +372,7 @@
   CHECK(second.count(kChat) == 6);
 }
 
-TEST_CASE("A discovery that turns every call away is called ever less often, and the watch comes back") {
+TEST_CASE("A discovery that refuses calls is called at growing intervals, and the watch is reopened later") {
   Record seen;
   Peer one([&seen](Wire& wire) {
     while (wire.receive()) {
@@ -372,14 +383,14 @@
   const Platform::Instance w1{"w1", "mixto", one.address()};
   Platform platform({{"w0", "mixto", "127.0.0.1:1"}});
   REQUIRE(platform.watches.wait_for("GET /api/targets?follow=1&since=1 HTTP/1.1"));
-  // A hundred conductors that each called again after a fixed 100 ms kept an overbooked discovery full.
+  // A hundred conductors that each retried after a fixed 100 ms kept an overloaded discovery service full.
   platform.refuse_watches(true);
   platform.watches.clear();
   platform.break_watch();
   std::this_thread::sleep_for(std::chrono::milliseconds(1600));
   const int calls = int(platform.watches.all().size());
   CHECK(calls >= 2);
-  CHECK(calls <= 5);  // waits of at least 50, 100, 200, 400 and 800 ms
+  CHECK(calls <= 5);  // the waits are at least 50, 100, 200, 400 and 800 ms
   platform.refuse_watches(false);
   platform.push(Platform::line(2, true, {w1}));
   REQUIRE(platform.watches.wait_for("GET /api/targets?follow=1&since=1 HTTP/1.1", calls + 1, 4000));
@@ -387,17 +398,17 @@
   CHECK(seen.all() == std::vector<std::string>{"one"});
 }
 
-// Kept, the connection of a stream that ends after the word to end would bring a request there is no time
-// for.
-TEST_CASE("SIGTERM: a connection ends with the stream that it carries, and takes no next request") {
+// If the connection of a stream that ends during the shutdown were kept, it could bring a request for which
+// there is no time left.
+TEST_CASE("SIGTERM: a connection closes with the end of its stream and takes no further request") {
   Record seen;
-  Peer writer(instance(seen, [&](Wire& wire, const Message&) {
+  Peer decode_instance(scripted_instance(seen, [&](Wire& wire, const Message&) {
     wire.send(stream_head() + chunk("data: 1\n\n"));
     if (!seen.wait_for("told")) return false;
     wire.send(chunk("data: [DONE]\n\n") + "0\r\n\r\n");
     return true;
   }));
-  Platform platform({{"w", "mixto", writer.address()}});
+  Platform platform({{"w", "mixto", decode_instance.address()}});
   const auto client = platform.connect();
   std::string request = client_request("first", "consulta", 5000, 100);
   request.erase(request.find("Connection: close\r\n"), 19);
@@ -412,37 +423,40 @@
   CHECK(seen.count(kChat) == 1);
 }
 
-// Killed with it, the process would leave a state pinned and a client without a word.
-TEST_CASE("SIGTERM: what has not begun is given up before the kill, with what is held for it") {
+// If such requests were left until the process is killed, a KV cache would stay held and the client would get
+// no response.
+TEST_CASE("SIGTERM: unanswered requests are ended in time, and their held KV caches are released") {
   Record seen;
-  Peer reader(instance(seen, [&](Wire& wire, const Message&) {
-    (void)wire.closed_within(9000);  // reads for ever
+  Peer prefill_instance(scripted_instance(seen, [&](Wire& wire, const Message&) {
+    (void)wire.closed_within(9000);  // never answers
     return false;
   }));
-  Peer writer(instance(seen, [](Wire& wire, const Message&) {
+  Peer decode_instance(scripted_instance(seen, [](Wire& wire, const Message&) {
     wire.send(simple("409 Conflict"));
     return true;
   }));
-  Platform platform({{"r", "lectura", reader.address()}, {"w", "escritura", writer.address()}});
+  Platform platform(
+      {{"r", "lectura", prefill_instance.address()}, {"w", "escritura", decode_instance.address()}});
   const auto client = platform.connect();
   client->send(client_request("stuck", "ajuste", 11000, 3000));
   REQUIRE(seen.wait_for(kChat));
-  const auto told = std::chrono::steady_clock::now();
+  const auto expected = std::chrono::steady_clock::now();
   platform.program().terminate();
-  CHECK(client->receive_all().starts_with("HTTP/1.1 503"));  // a read has no effect: it may come again
+  // A prefill has no lasting effect, so the client may retry.
+  CHECK(client->receive_all().starts_with("HTTP/1.1 503"));
   CHECK(platform.program().wait() == 0);
-  CHECK(std::chrono::steady_clock::now() - told < std::chrono::milliseconds(3700));
+  CHECK(std::chrono::steady_clock::now() - expected < std::chrono::milliseconds(3700));
   CHECK(seen.wait_for("DELETE /bootstrap/rooms/stuck"));
 }
 
-TEST_CASE("SIGTERM: what was taken is answered, late connections too, then the program ends well") {
+TEST_CASE("SIGTERM: accepted requests and late connections are answered, then the program exits with 0") {
   Record seen;
-  Peer writer(instance(seen, [&](Wire& wire, const Message& m) {
+  Peer decode_instance(scripted_instance(seen, [&](Wire& wire, const Message& m) {
     if (m.headers.at("x-txn") == "slow") seen.wait_for("late one answered");
     wire.send(events({"[DONE]"}));
     return true;
   }));
-  Platform platform({{"w", "mixto", writer.address()}});
+  Platform platform({{"w", "mixto", decode_instance.address()}});
   const auto idle = platform.connect();
   idle->send("GET /-/ready HTTP/1.1\r\n\r\n");
   CHECK(idle->receive()->status() == 200);
@@ -459,13 +473,13 @@
 }
 
 TEST_CASE(
-    "Connections that ask once and stay, or say nothing, make room for others, and half a request gets 408") {
+    "Idle and silent connections are closed to make room for others, and an incomplete request gets 408") {
   Platform platform({});
   const std::string ask = "GET /-/ready HTTP/1.1\r\n\r\n";
   const auto half = platform.connect();
   half->send("POST /v1/chat/completions HTTP/1.1\r\nX-Txn:");
   std::vector<std::unique_ptr<Wire>> kept;
-  const auto keep = [&](int count, const std::string& request) {
+  const auto open_connections = [&](int count, const std::string& request) {
     int answered = 0;
     for (int i = 0; i < count; ++i) {
       kept.push_back(platform.connect());
@@ -474,16 +488,16 @@
     }
     return answered;
   };
-  CHECK(keep(220, ask) == 220);  // of about 250 that the limits of this platform leave for clients
-  keep(60, "");
+  CHECK(open_connections(220, ask) == 220);  // the limits of this platform leave about 250 for clients
+  open_connections(60, "");
   CHECK(half->receive_head().status() == 408);
   CHECK(kept.back()->closed_within(3000));
-  CHECK(keep(220, ask) == 220);
+  CHECK(open_connections(220, ask) == 220);
 }
 
-TEST_CASE("Once a kept connection has broken under a request, no ajuste is written to another one") {
+TEST_CASE("After a kept connection has broken under a request, an ajuste is sent on new connections only") {
   Record seen;
-  // Answers once on each connection and resets it when the next request has come.
+  // Answers the first request of each connection and resets the connection at the second one.
   Peer only([&](Wire& wire) {
     for (int asked = 0; const auto request = wire.receive(); ++asked) {
       if (request->first.starts_with("DELETE")) {
@@ -501,7 +515,7 @@
   for (int i = 0; i < 2; ++i) {
     CHECK(platform.ask(client_request("c" + std::to_string(i), "consulta", 5000, 100))
               .starts_with("HTTP/1.1 200"));
-    std::this_thread::sleep_for(kSettled);
+    std::this_thread::sleep_for(kReusableAfter);
   }
   CHECK(seen.count("broke") == 1);
   for (int i = 0; i < 4; ++i) {
@@ -512,8 +526,8 @@
 }
 
 TEST_CASE(
-    "A spoilt answer is a failed attempt that may have run, and one spoilt after its first event ends the "
-    "client") {
+    "A malformed response is a failed attempt that may have run, and malformed input "
+    "after the first event ends the stream") {
   Record seen;
   const std::map<std::string, std::string> spoilt = {
       {"noise", "\x16\x03 noise"},
@@ -528,17 +542,18 @@
     if (spoilt.contains(kind) && first) {
       wire.send(spoilt.at(kind));
       if (kind == "late") {
-        std::this_thread::sleep_for(std::chrono::milliseconds(200));  // what comes with it was not passed on
+        // Input that arrives together with the error would not be forwarded.
+        std::this_thread::sleep_for(std::chrono::milliseconds(200));
         wire.send("zz\r\n");
       }
       if (wire.closed_within(4000)) seen.add("closed");
       return false;
     }
-    // More than belongs to it: interim answers ahead, a second answer behind.
+    // Surplus responses: an interim one before the answer, a second answer after it.
     wire.send("HTTP/1.1 102 Processing\r\n\r\n" + events({"[DONE]"}) + events({"stray"}));
     return true;
   };
-  Peer one(instance(seen, script)), two(instance(seen, script));
+  Peer one(scripted_instance(seen, script)), two(scripted_instance(seen, script));
   for (const auto& [kind, text] : spoilt) {
     CAPTURE(kind);
     Platform platform({{"a", "mixto", one.address()}, {"b", "mixto", two.address()}});
@@ -547,7 +562,7 @@
     CHECK(seen.wait_for("closed"));
     CHECK(seen.count(kChat) == (kind == "late" ? 1 : 2));
     CHECK(safe.ends_with("0\r\n\r\n") == (kind != "late"));
-    CHECK_FALSE(has(safe, "stray"));
+    CHECK_FALSE(contains_text(safe, "stray"));
     seen.clear();
     const std::string once = platform.ask(client_request("a-" + kind, "ajuste", 5000, 100));
     CHECK(seen.wait_for("closed"));
@@ -557,8 +572,7 @@
   }
 }
 
-TEST_CASE(
-    "Where connections are nearly used up, none is kept beyond its answer, and before that they are kept") {
+TEST_CASE("Connections are kept after their response unless the connection limit is nearly reached") {
   Platform platform({});
   std::vector<std::unique_ptr<Wire>> kept;
   const auto last_answer_ends_it = [&](int count) {
@@ -572,14 +586,15 @@
            kept.back()->closed_within(3000);
   };
   CHECK_FALSE(last_answer_ends_it(100));
-  CHECK(last_answer_ends_it(120));  // of about 250 that the limits of this platform leave for clients
+  CHECK(last_answer_ends_it(120));  // the limits of this platform leave about 250 for clients
   CHECK(kept.front()->closed_within(0) == false);
 }
 
-TEST_CASE("What a client got wrong costs no instance its good name, and no other client its request") {
+TEST_CASE(
+    "Faulty requests of one client affect neither the health of an instance nor other clients' requests") {
   Record seen;
   std::atomic<bool> go_on{false};
-  Peer only(instance(seen, [&](Wire& wire, const Message& m) {
+  Peer only(scripted_instance(seen, [&](Wire& wire, const Message& m) {
     if (m.headers.at("x-txn") == "w") {
       for (int i = 0; i < 500 && !go_on; ++i) std::this_thread::sleep_for(std::chrono::milliseconds(10));
     }
@@ -610,41 +625,41 @@
   CHECK(platform.ask(client_request("w", "ajuste", 5000, 100)).starts_with("HTTP/1.1 200"));
 }
 
-TEST_CASE("SIGHUP: a faulty file changes nothing, and a good one moves the watch, and no request is lost") {
+TEST_CASE("SIGHUP: a faulty file changes nothing, a valid one moves the watch, and no request is lost") {
   Record seen, watches, last_watches;
   std::atomic<bool> go_on{false};
-  Peer old_box(instance(seen, [&](Wire& wire, const Message&) {
+  Peer old_instance(scripted_instance(seen, [&](Wire& wire, const Message&) {
     wire.send(stream_head() + chunk("data: 1\n\n"));
     for (int i = 0; i < 500 && !go_on; ++i) std::this_thread::sleep_for(std::chrono::milliseconds(10));
     wire.send(chunk("data: [DONE]\n\n") + "0\r\n\r\n");
     return true;
   }));
-  Peer new_box(instance(seen, [&](Wire& wire, const Message&) {
+  Peer new_instance(scripted_instance(seen, [&](Wire& wire, const Message&) {
     wire.send(events({"new", "[DONE]"}));
     return true;
   }));
-  Peer newest_box(instance(seen, [&](Wire& wire, const Message&) {
+  Peer newest_instance(scripted_instance(seen, [&](Wire& wire, const Message&) {
     wire.send(events({"newest", "[DONE]"}));
     return true;
   }));
-  // Discoveries that count their versions from below what the program knows.
-  const auto discovery_with = [](Record& watched, const Peer& box) {
+  // Discovery services whose version numbers are lower than those that the program has seen.
+  const auto discovery_with = [](Record& watched, const Peer& instance) {
     return [&](Wire& wire) {
       const auto request = wire.receive();
       wire.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" +
-                chunk(Platform::line(0, true, {{"n", "mixto", box.address()}}) + "\n"));
+                chunk(Platform::line(0, true, {{"n", "mixto", instance.address()}}) + "\n"));
       watched.add(request ? request->first : "");
       while (!wire.closed_within(1000)) {
       }
     };
   };
-  Peer moved(discovery_with(watches, new_box));
-  Peer moved_again(discovery_with(last_watches, newest_box));
-  Platform platform({{"o", "mixto", old_box.address()}});
+  Peer moved(discovery_with(watches, new_instance));
+  Peer moved_again(discovery_with(last_watches, newest_instance));
+  Platform platform({{"o", "mixto", old_instance.address()}});
   REQUIRE(platform.watches.wait_for("GET /api/targets?follow=1&since=1 HTTP/1.1"));
   const auto client = platform.connect();
   client->send(client_request("h1", "ajuste"));
-  CHECK(has(client->receive_until("data: 1"), " 200 "));
+  CHECK(contains_text(client->receive_until("data: 1"), " 200 "));
 
   platform.reload("{\"discovery\": 7");
   CHECK(platform.ask("GET /-/ready HTTP/1.1\r\nConnection: close\r\n\r\n").starts_with("HTTP/1.1 200"));
@@ -655,15 +670,15 @@
   platform.reload(fresh.dump());
   platform.reload(fresh.dump());
   REQUIRE(watches.wait_for("GET /api/targets?follow=1 HTTP/1.1"));
-  // Its answer comes after every signal sent before it was handled, so that the next reload opens one watch,
-  // and what that watch was sent is read before the stream ends.
+  // This answer comes after the signals sent before it have been handled, so that the next reload opens one
+  // watch, and the data sent to that watch is read before the stream ends.
   CHECK(platform.ask("GET /-/ready HTTP/1.1\r\nConnection: close\r\n\r\n").starts_with("HTTP/1.1 200"));
   fresh["discovery"] = moved_again.address();
   platform.reload(fresh.dump());
   REQUIRE(last_watches.wait_for("GET /api/targets?follow=1 HTTP/1.1"));
   go_on = true;
   CHECK(client->receive_all().ends_with("0\r\n\r\n"));
-  CHECK(has(platform.ask(client_request("h2", "consulta")), "data: newest"));
+  CHECK(contains_text(platform.ask(client_request("h2", "consulta")), "data: newest"));
 
   platform.program().terminate();
   platform.program().send_signal(SIGHUP);
--- a/tests/stories/platform_world.cpp
+++ b/tests/stories/platform_world.cpp
@@ -57,16 +57,16 @@
     }
     if (silent_) {
       lock.unlock();
-      (void)wire.closed_within(10000);  // until its caller gives up
+      (void)wire.closed_within(10000);  // until the caller gives up
       return;
     }
-    const int breaks = breaks_;
+    const int breaks = watch_breaks_;
     wire.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-    for (std::size_t next = first_;;) {
+    for (std::size_t next = first_line_;;) {
       for (; next < lines_.size(); ++next) wire.send(chunk(lines_[next] + "\n"));
       if (changed_.wait_for(lock, std::chrono::milliseconds(50),
-                            [&] { return breaks_ != breaks || next < lines_.size(); })) {
-        if (breaks_ != breaks) return;
+                            [&] { return watch_breaks_ != breaks || next < lines_.size(); })) {
+        if (watch_breaks_ != breaks) return;
       } else if (wire.closed_within(0)) {
         return;
       }
@@ -104,8 +104,8 @@
 
 void Platform::break_watch() {
   const std::lock_guard lock(mutex_);
-  ++breaks_;
-  first_ = lines_.size();
+  ++watch_breaks_;
+  first_line_ = lines_.size();
   changed_.notify_all();
 }
 
