--- a/src/sse/event_splitter.cpp
+++ b/src/sse/event_splitter.cpp
@@ -4,7 +4,7 @@
 
 namespace bankmux::sse {
 
-std::size_t EventSplitter::scan(std::string_view bytes) {
+std::size_t EventSplitter::find_event_end(std::string_view bytes) {
   std::size_t at = 0;
   while (at < bytes.size()) {
     const char c = bytes[at];
@@ -14,7 +14,7 @@
     }
     after_cr_ = false;
     if (c != '\n' && c != '\r') {
-      line_empty_ = false;
+      line_is_empty_ = false;
       const std::size_t end = line_end(bytes.substr(at));
       if (end == std::string_view::npos) return end;
       at += end;
@@ -22,9 +22,9 @@
     }
     ++at;
     after_cr_ = c == '\r';
-    if (!std::exchange(line_empty_, true)) continue;
-    // An empty line. Its LF goes with it where it is there already; coming later it is an empty line's worth
-    // of nothing ahead of the next event.
+    if (!std::exchange(line_is_empty_, true)) continue;
+    // An empty line ends the event. If it ends with CRLF and the LF is in this buffer, it belongs to this
+    // event; an LF that arrives later is an ignored empty line before the next event.
     if (after_cr_ && at < bytes.size() && bytes[at] == '\n') {
       ++at;
       after_cr_ = false;
--- a/src/sse/event_splitter.hpp
+++ b/src/sse/event_splitter.hpp
@@ -1,5 +1,5 @@
-// Cuts a stream of server-sent events into whole ones, as the WHATWG HTML standard, section 9.2.6, delimits
-// them: lines end with LF, CRLF or CR, and an empty line ends an event. Changes no byte; pure.
+// Splits a stream of server-sent events into single events as delimited by the WHATWG HTML standard, section
+// 9.2.6: lines end with LF, CRLF or CR, and an empty line ends an event. Does not change any byte. No I/O.
 #pragma once
 
 #include <string>
@@ -8,65 +8,67 @@
 
 namespace bankmux::sse {
 
-// Where a line ends: its first LF or CR; npos where none has come.
+// Offset of the first LF or CR, where the line ends; npos if there is none yet.
 [[nodiscard]] inline std::size_t line_end(std::string_view text) {
-  // Two plain searches are many times faster than one for either letter.
+  // Two searches for one character are many times faster than one search for either.
   const std::size_t lf = text.find('\n');
   const std::size_t cr = text.substr(0, lf).find('\r');
   return cr != std::string_view::npos ? cr : lf;
 }
 
+// Buffers at most one incomplete event between calls.
 class EventSplitter {
  public:
-  // `most`: bytes of one event, its end included.
-  explicit EventSplitter(std::size_t most) : most_(most) {}
+  // `max_event_bytes`: limit for one event, including the empty line that ends it.
+  explicit EventSplitter(std::size_t max_event_bytes) : max_event_bytes_(max_event_bytes) {}
 
-  // Calls `event(std::string_view)` for each event that is whole by now, in order; the pieces joined are what
-  // came. The views end with the call. False once an event is longer than may be; nothing is taken after
-  // that.
-  template <typename Event>
-  bool feed(std::string_view bytes, Event event) {
+  // Calls `on_event(std::string_view)` for each event that is complete by now, in order; concatenated they
+  // are the bytes received. A view is valid only during its call. Returns false once an event exceeds the
+  // limit; further input is then ignored.
+  template <typename Handler>
+  bool feed(std::string_view bytes, Handler on_event) {
     while (!bytes.empty() && !too_long_) {
-      const std::size_t end = scan(bytes);
+      const std::size_t end = find_event_end(bytes);
       if (end == std::string_view::npos) {
-        part_ += bytes;
-        too_long_ = part_.size() > most_;
+        partial_event_ += bytes;
+        too_long_ = partial_event_.size() > max_event_bytes_;
         return !too_long_;
       }
-      if (part_.size() + end > most_) {
+      if (partial_event_.size() + end > max_event_bytes_) {
         too_long_ = true;
         return false;
       }
-      if (part_.empty()) {
-        event(bytes.substr(0, end));
+      if (partial_event_.empty()) {
+        on_event(bytes.substr(0, end));
       } else {
-        part_ += bytes.substr(0, end);
-        // Taken out first: what is called may destroy this.
-        const std::string whole = std::exchange(part_, {});
-        event(std::string_view(whole));
+        partial_event_ += bytes.substr(0, end);
+        // Moved out first: the callback may destroy this splitter.
+        const std::string event = std::exchange(partial_event_, {});
+        on_event(std::string_view(event));
       }
       bytes.remove_prefix(end);
     }
     return !too_long_;
   }
 
-  // An event has begun and not ended.
-  [[nodiscard]] bool within_event() const { return !part_.empty(); }
+  // Whether an incomplete event is buffered.
+  [[nodiscard]] bool within_event() const { return !partial_event_.empty(); }
 
  private:
-  // Where the event in hand ends within these bytes, which begin after all that was scanned before.
-  std::size_t scan(std::string_view bytes);
+  // Offset in `bytes`, the input after what was scanned so far, at which the current event ends; npos if it
+  // does not.
+  std::size_t find_event_end(std::string_view bytes);
 
-  std::size_t most_;
-  std::string part_;
+  std::size_t max_event_bytes_;
+  std::string partial_event_;
   bool too_long_ = false;
-  bool line_empty_ = true;  // no byte of the line in hand has come
-  bool after_cr_ = false;   // an LF now belongs to the line end before it
+  bool line_is_empty_ = true;  // no byte of the current line has arrived
+  bool after_cr_ = false;      // an LF that follows is part of the CRLF already seen
 };
 
-// Whether an event holds nothing but comments and empty lines.
+// Whether an event consists only of comments and empty lines.
 [[nodiscard]] bool only_comments(std::string_view event);
-// The data of one event: its lines joined by LF.
+// The data of one event: its data lines joined by LF.
 [[nodiscard]] std::string event_data(std::string_view event);
 
 }  // namespace bankmux::sse
--- a/src/sse/stream_scanner.cpp
+++ b/src/sse/stream_scanner.cpp
@@ -11,13 +11,13 @@
 
 namespace {
 
-constexpr std::size_t kMostLine = 64 * 1024;  // a longer one is passed on unread
-constexpr int kMostDataLines = 64;
+constexpr std::size_t kMaxLineBytes = 64 * 1024;  // longer lines are not inspected
+constexpr int kMaxDataLines = 64;
 
 using nlohmann::json;
 
-// From the key on: a finish_reason that is a text.
-bool reason_given(std::string_view rest) {
+// Whether text that begins after a quote is the key finish_reason with a string value.
+bool has_finish_reason(std::string_view rest) {
   constexpr std::string_view kKey = "finish_reason\"";
   if (!rest.starts_with(kKey)) return false;
   rest.remove_prefix(kKey.size());
@@ -25,7 +25,7 @@
   return rest.starts_with('"');
 }
 
-eiderarch::Tokens count(const json& object, const char* name) {
+eiderarch::Tokens integer_or_zero(const json& object, const char* name) {
   const auto it = object.find(name);
   return it != object.end() && it->is_number_integer() ? it->get<eiderarch::Tokens>() : 0;
 }
@@ -35,39 +35,39 @@
 std::optional<eiderarch::Tokens> cached_tokens(std::string_view text) {
   const json value = json::parse(text, nullptr, false);
   if (!value.is_object()) return std::nullopt;
-  if (value.contains("cached_tokens")) return count(value, "cached_tokens");
+  if (value.contains("cached_tokens")) return integer_or_zero(value, "cached_tokens");
   const auto usage = value.find("usage");
   if (usage == value.end() || !usage->is_object()) return 0;
   const auto details = usage->find("prompt_tokens_details");
-  return details != usage->end() && details->is_object() ? count(*details, "cached_tokens") : 0;
+  return details != usage->end() && details->is_object() ? integer_or_zero(*details, "cached_tokens") : 0;
 }
 
 StreamScanner::StreamScanner(Open open)
     : line_(std::move(open.line)),
       data_(std::move(open.data)),
       data_lines_(open.data_lines),
-      skip_(open.skip),
+      skip_line_(open.skip),
       after_cr_(open.after_cr),
       failed_(open.failed) {}
 
 void StreamScanner::feed(std::string_view bytes) {
   while (!bytes.empty()) {
-    // The LF of a CRLF whose CR has ended the line.
+    // The LF of a CRLF whose CR has already ended the line.
     if (std::exchange(after_cr_, false) && bytes.front() == '\n') {
       bytes.remove_prefix(1);
       continue;
     }
     const std::size_t end = line_end(bytes);
-    if (end != std::string_view::npos && line_.empty() && !skip_ && end <= kMostLine) {
-      line(bytes.substr(0, end));  // the ordinary case: a whole line, looked at where it lies
+    if (end != std::string_view::npos && line_.empty() && !skip_line_ && end <= kMaxLineBytes) {
+      scan_line(bytes.substr(0, end));  // the usual case: a complete line, scanned without copying
     } else {
-      if (!skip_) line_.append(bytes.substr(0, end));
-      if (line_.size() > kMostLine) {
-        skip_ = true;
+      if (!skip_line_) line_.append(bytes.substr(0, end));
+      if (line_.size() > kMaxLineBytes) {
+        skip_line_ = true;
         line_.clear();
       }
       if (end == std::string_view::npos) return;
-      if (!std::exchange(skip_, false)) line(line_);
+      if (!std::exchange(skip_line_, false)) scan_line(line_);
       line_.clear();
     }
     after_cr_ = bytes[end] == '\r';
@@ -75,36 +75,37 @@
   }
 }
 
-void StreamScanner::line(std::string_view text) {
+void StreamScanner::scan_line(std::string_view text) {
   if (text.starts_with("\xEF\xBB\xBF")) text.remove_prefix(3);
   if (text.empty()) {
     data_.clear();
     data_lines_ = 0;
     return;
   }
-  constexpr std::string_view kReport = ": X-Pressure: ";
-  if (text.starts_with(kReport)) report_ = parse_report(text.substr(kReport.size()));
+  constexpr std::string_view kLoadReportComment = ": X-Pressure: ";
+  if (text.starts_with(kLoadReportComment)) report_ = parse_report(text.substr(kLoadReportComment.size()));
   if (text.starts_with("event: error")) failed_ = true;
   if (!text.starts_with("data:")) return;
   text.remove_prefix(5);
   if (text.starts_with(' ')) text.remove_prefix(1);
   if (++data_lines_ == 1) {
     data_ = text;
-    return data(data_);
+    return scan_data(data_);
   }
-  // Data on several lines is one text. Looked at line by line, so bounded.
-  if (data_lines_ > kMostDataLines || data_.size() + text.size() > kMostLine) return;
+  // Several data lines form one text. It is scanned again with every line, so its size is limited.
+  if (data_lines_ > kMaxDataLines || data_.size() + text.size() > kMaxLineBytes) return;
   data_ += '\n';
   data_ += text;
-  data(data_);
+  scan_data(data_);
 }
 
-// Most events are a few letters of the answer; only those that can matter are parsed. One pass from quote to
-// quote: a quote within a text is escaped, so what stands between two plain ones is a whole key or text.
-void StreamScanner::data(std::string_view text) {
+// Most events carry a few characters of the answer, so only events that can matter are parsed as JSON. One
+// pass goes from quote to quote: quotes inside a JSON string are escaped, so the text between two unescaped
+// quotes is a complete key or string.
+void StreamScanner::scan_data(std::string_view text) {
   if (text == "[DONE]") done_ = finished_ = true;
   bool usage = false, error = false, type = false;
-  std::string_view response;  // a text that begins with "response."
+  std::string_view response;  // the rest of a string that begins with "response."
   for (std::size_t at = 0; (at = text.find('"', at)) != std::string_view::npos;) {
     const std::string_view rest = text.substr(++at);
     if (rest.empty()) break;
@@ -122,7 +123,7 @@
         if (response.empty() && rest.starts_with("response.")) response = rest.substr(9);
         break;
       case 'f':
-        finished_ |= reason_given(rest);
+        finished_ |= has_finish_reason(rest);
         break;
       default:
         break;
--- a/src/sse/stream_scanner.hpp
+++ b/src/sse/stream_scanner.hpp
@@ -1,5 +1,5 @@
-// Looks at a stream of events as it passes, for what the core and the fronts want to know of it. Changes
-// nothing.
+// Inspects a stream of server-sent events as it is relayed: cached tokens, load reports, errors and the end
+// of the answer. Does not modify the stream.
 #pragma once
 
 #include <optional>
@@ -12,7 +12,8 @@
 
 class StreamScanner {
  public:
-  // What of a stream is in hand between two looks, so that another may look on.
+  // State between two calls of feed(), from which another scanner can continue, for example in the process
+  // that takes the stream over.
   struct Open {
     std::string line, data;
     int data_lines = 0;
@@ -20,36 +21,38 @@
   };
   StreamScanner() = default;
   explicit StreamScanner(Open open);
-  [[nodiscard]] Open open() const { return {line_, data_, data_lines_, skip_, after_cr_, failed_}; }
+  [[nodiscard]] Open open() const { return {line_, data_, data_lines_, skip_line_, after_cr_, failed_}; }
 
   void feed(std::string_view bytes);
+  // Prompt tokens that the instance's KV cache already held, as reported in the usage; 0: none reported.
   [[nodiscard]] eiderarch::Tokens found() const { return found_; }
+  // The last load report, which instances send as a comment line; empty if there was none.
   [[nodiscard]] const eiderarch::LoadReport& report() const { return report_; }
-  // An error event came by: the answer is not whole, however its stream ends.
+  // An error event was seen: the answer is incomplete, however its stream ends.
   [[nodiscard]] bool failed() const { return failed_; }
-  // A reason why the answer is finished came by: `finish_reason`, or the type of a last event.
+  // A `finish_reason`, or an event type that ends the answer, was seen.
   [[nodiscard]] bool finished() const { return finished_; }
-  // `[DONE]` came by, or the last event of a response: nothing belongs to the answer after that.
+  // `[DONE]`, or the last event of a response, was seen: the answer has no further events.
   [[nodiscard]] bool done() const { return done_; }
 
  private:
-  void line(std::string_view text);
-  void data(std::string_view text);
+  void scan_line(std::string_view text);
+  void scan_data(std::string_view text);
   std::string line_;
-  std::string data_;  // of the event in hand
+  std::string data_;  // of the current event
   int data_lines_ = 0;
-  bool skip_ = false;
+  bool skip_line_ = false;
   bool after_cr_ = false;
   bool failed_ = false, finished_ = false, done_ = false;
   eiderarch::Tokens found_ = 0;
   eiderarch::LoadReport report_;
 };
 
-// The count of kept tokens in a body like {"cached_tokens":4096} or in a usage object; 0 where there is none,
-// nothing where the text is no JSON object.
+// The number of cached tokens in a body like {"cached_tokens":4096} or in a usage object; 0 if there is none,
+// nullopt if the text is not a JSON object.
 std::optional<eiderarch::Tokens> cached_tokens(std::string_view json);
 
-// "inflight=7,queue=2,util=0.61"; what is not understood is passed over.
+// Parses a report such as "inflight=7,queue=2,util=0.61"; unknown or malformed fields are ignored.
 eiderarch::LoadReport parse_report(std::string_view text);
 
 }  // namespace bankmux::sse
