--- a/src/admission/door.cpp
+++ b/src/admission/door.cpp
@@ -13,9 +13,9 @@
 
 namespace {
 
-// Told to a repeat while its first try is still open, and to who holds all it may: about what an answer takes
-// to begin.
-constexpr Duration kWhileOpen = 1s;
+// Retry-After for a repeat whose first request is still open, and for a key or tenant that has as many open
+// requests as it may have: about the time an answer takes to begin.
+constexpr Duration kRetryWhileOpen = 1s;
 
 std::string hex(std::uint64_t value) {
   char text[17];
@@ -26,8 +26,8 @@
 }  // namespace
 
 std::optional<Caller> Door::identify(std::string_view credentials) const {
-  if (!ring_) return Caller{};
-  const Key* key = ring_->check(credentials);
+  if (!keys_) return Caller{};
+  const Key* key = keys_->check(credentials);
   if (key == nullptr) return std::nullopt;
   return Caller{key};
 }
@@ -36,108 +36,115 @@
   return caller.key == nullptr || KeyRing::may_use(*caller.key, model);
 }
 
-TenantUse& Door::use(const std::string& tenant) {
-  if (uses_.size() >= limits_.most_tenants && !uses_.contains(tenant)) {
-    std::erase_if(uses_, [](const auto& entry) { return entry.second.open == 0; });
+TenantUse& Door::usage_of(const std::string& tenant) {
+  if (usage_.size() >= limits_.max_tenants && !usage_.contains(tenant)) {
+    std::erase_if(usage_, [](const auto& entry) { return entry.second.open == 0; });
   }
-  TenantUse& found = uses_[tenant];
+  TenantUse& found = usage_[tenant];
   found.name = tenant;
   return found;
 }
 
-bool Door::has_room(const TenantUse& tenant) const {
-  return may_hold(tenant.open, {limits_.most_open, open_, at_work_ + (tenant.open == 0 ? 1 : 0)});
+bool Door::within_share(const TenantUse& tenant) const {
+  return may_take_slot(
+      tenant.open, {limits_.max_open_requests, open_requests_, active_tenants_ + (tenant.open == 0 ? 1 : 0)});
 }
 
-Pass Door::knock(Time now, const Caller& caller, const Knock& knock) {
-  Pass pass;
-  Ticket& ticket = pass.ticket;
-  ticket.reserved = knock.reserve;
+AdmissionResult Door::admit(Time now, const Caller& caller, const AdmissionRequest& request) {
+  AdmissionResult result;
+  Ticket& ticket = result.ticket;
+  ticket.reserved = request.reserved_tokens;
   if (caller.key != nullptr) {
     ticket.tenant = caller.key->tenant;
     ticket.key_id = caller.key->id;
     ticket.limits = caller.key->limits;
-    pass.standing = limiter_.standing(now, ticket.key_id, ticket.limits);
+    result.limit_status = limiter_.standing(now, ticket.key_id, ticket.limits);
   }
-  TenantUse& tenant = use(ticket.tenant);
-  const auto turned_away = [&](Entry entry, std::uint64_t& count, Duration wait) {
+  TenantUse& tenant = usage_of(ticket.tenant);
+  const auto reject = [&](AdmissionStatus status, std::uint64_t& count, Duration wait) {
     ++count;
-    pass.entry = entry;
-    pass.wait = wait;
-    return pass;
+    result.status = status;
+    result.wait = wait;
+    return result;
   };
 
-  // Under the client's own key; or, for a class that must never run twice, under all that a repeat would
-  // share.
-  const bool keyed = !knock.key.empty();
-  if (ledger_.limits().entries > 0 && (keyed || knock.once)) {
-    const std::string name = keyed ? knock.key : "same " + hex(knock.session) + " " + hex(knock.digest);
-    const bool first = !keyed && knock.retry <= 0;
-    const Ledger::Begun begun = ledger_.begin(now, ticket.tenant, name, knock.digest, knock.once, first);
-    switch (begun.found) {
-      case Ledger::Found::fresh:
-        ticket.entry = begun.number;
+  // The ledger entry is named by the client's Idempotency-Key. A request without a key whose class must never
+  // run twice is named by its session and digest, which a repeat shares with it.
+  const bool keyed = !request.idempotency_key.empty();
+  if (ledger_.limits().entries > 0 && (keyed || request.at_most_once)) {
+    const std::string name =
+        keyed ? request.idempotency_key : "same " + hex(request.session) + " " + hex(request.digest);
+    const bool first = !keyed && request.retry_count <= 0;
+    const Ledger::BeginResult begun =
+        ledger_.begin(now, ticket.tenant, name, request.digest, request.at_most_once, first);
+    switch (begun.status) {
+      case Ledger::BeginStatus::fresh:
+        ticket.ledger_entry = begun.number;
         ticket.by_key = keyed;
         break;
-      case Ledger::Found::open:
-        return turned_away(Entry::in_progress, tenant.held_off, kWhileOpen);
-      case Ledger::Found::other_body:
-        return turned_away(Entry::other_body, tenant.held_off, 0s);
-      case Ledger::Found::ended:
+      case Ledger::BeginStatus::running:
+        return reject(AdmissionStatus::in_progress, tenant.held_off, kRetryWhileOpen);
+      case Ledger::BeginStatus::key_reused:
+        return reject(AdmissionStatus::key_reused, tenant.held_off, 0s);
+      case Ledger::BeginStatus::ended:
         ++tenant.replayed;
-        pass.entry = Entry::replay;
-        pass.answer = begun.answer;
-        return pass;
-      case Ledger::Found::full:
-        // Who asks for protection and cannot have it is told so, where running twice would do harm.
-        if (keyed && knock.once) return turned_away(Entry::unprotected, tenant.held_off, kWhileOpen);
+        result.status = AdmissionStatus::replay;
+        result.answer = begun.answer;
+        return result;
+      case Ledger::BeginStatus::full:
+        // Without a ledger entry a repeat could run twice: reject the request if that would do harm and its
+        // client asked for protection by sending a key.
+        if (keyed && request.at_most_once)
+          return reject(AdmissionStatus::ledger_full, tenant.held_off, kRetryWhileOpen);
         break;
     }
   }
 
-  const auto forget = [&] {
-    if (ticket.entry != 0) ledger_.end(now, std::exchange(ticket.entry, 0), false, std::nullopt);
+  const auto release_entry = [&] {
+    if (ticket.ledger_entry != 0)
+      ledger_.end(now, std::exchange(ticket.ledger_entry, 0), false, std::nullopt);
   };
   if (caller.key != nullptr) {
-    if (!has_room(tenant)) {
-      forget();
-      return turned_away(Entry::over_share, tenant.over_share, kWhileOpen);
+    if (!within_share(tenant)) {
+      release_entry();
+      return reject(AdmissionStatus::over_share, tenant.over_share, kRetryWhileOpen);
     }
     const Decision decision = limiter_.take(now, ticket.key_id, ticket.limits, ticket.reserved);
-    pass.standing = decision.standing;
+    result.limit_status = decision.limit_status;
     if (decision.limited != Limited::none) {
-      forget();
-      pass.limited = decision.limited;
-      const bool crowded = decision.limited == Limited::too_many_tenants;
-      return turned_away(crowded ? Entry::crowded : Entry::limited, tenant.limited,
-                         decision.limited == Limited::open ? kWhileOpen : decision.wait);
+      release_entry();
+      result.limited = decision.limited;
+      const bool too_many_tenants = decision.limited == Limited::too_many_tenants;
+      return reject(too_many_tenants ? AdmissionStatus::too_many_tenants : AdmissionStatus::limited,
+                    tenant.limited, decision.limited == Limited::open ? kRetryWhileOpen : decision.wait);
     }
   }
-  if (tenant.open++ == 0) ++at_work_;
-  ++open_;
+  if (tenant.open++ == 0) ++active_tenants_;
+  ++open_requests_;
   ++tenant.admitted;
-  return pass;
+  return result;
 }
 
-void Door::sent(const Ticket& ticket, bool out) {
-  if (ticket.entry != 0) ledger_.wrote(ticket.entry, out);
+void Door::record_attempt(const Ticket& ticket, bool may_have_run) {
+  if (ticket.ledger_entry != 0) ledger_.wrote(ticket.ledger_entry, may_have_run);
 }
 
-void Door::ended(Time now, const Ticket& ticket, Ended end) {
-  TenantUse& tenant = use(ticket.tenant);
+void Door::request_ended(Time now, const Ticket& ticket, RequestResult end) {
+  TenantUse& tenant = usage_of(ticket.tenant);
   if (!ticket.key_id.empty()) {
-    if (end.ran) {
-      const Tokens used = end.used.value_or(ticket.reserved);
-      limiter_.settle(now, ticket.key_id, ticket.limits, ticket.reserved, used, end.most);
-      tenant.tokens += std::uint64_t(std::clamp<Tokens>(used, 0, std::max<Tokens>(end.most, 0)));
+    if (end.may_have_run) {
+      const Tokens used = end.used_tokens.value_or(ticket.reserved);
+      limiter_.settle(now, ticket.key_id, ticket.limits, ticket.reserved, used, end.max_tokens);
+      tenant.tokens += std::uint64_t(std::clamp<Tokens>(used, 0, std::max<Tokens>(end.max_tokens, 0)));
     } else {
-      limiter_.give_back(now, ticket.key_id, ticket.limits, ticket.reserved);
+      limiter_.refund_request(now, ticket.key_id, ticket.limits, ticket.reserved);
     }
   }
-  if (ticket.entry != 0) ledger_.end(now, ticket.entry, end.ran, std::move(end.answer));
+  if (ticket.ledger_entry != 0)
+    ledger_.end(now, ticket.ledger_entry, end.may_have_run, std::move(end.answer));
   if (tenant.open == 0) return;
-  if (--tenant.open == 0) --at_work_;
-  --open_;
+  if (--tenant.open == 0) --active_tenants_;
+  --open_requests_;
 }
 
 }  // namespace bankmux::admission
--- a/src/admission/door.hpp
+++ b/src/admission/door.hpp
@@ -1,6 +1,7 @@
-// The door of the chat front: who asks (keys), how much they may (limiter), a fair part of the table for each
-// tenant (share), and that a client's own repeat of a request that may have run is answered from the ledger
-// instead of run again. Pure: time comes in, decisions go out; src/net/openai words them.
+// Admission control of the chat API: authenticates clients (keys), enforces rate limits (limiter), gives each
+// tenant a fair share of the request table (share), and answers a client's repeat of a request that may have
+// run from the idempotency ledger instead of running it again. Has no I/O and no clock: times are passed in.
+// src/net/openai turns the results into HTTP responses.
 #pragma once
 
 #include <map>
@@ -16,104 +17,112 @@
 
 struct DoorLimits {
   LedgerLimits ledger;
-  std::size_t most_tenants = 100'000;
-  std::size_t most_open = 0;  // places in the conductor's table, shared by tenants; 0: not bounded
+  std::size_t max_tenants = 100'000;
+  std::size_t max_open_requests = 0;  // size of the request table that tenants share; 0: not limited
 };
 
-// A caller that is let in; `key` is null where there are no keys, and all may ask.
+// An authenticated client. `key` is null if no API keys are configured, so that all clients are accepted.
 struct Caller {
-  const Key* key = nullptr;  // until the keys change
+  const Key* key = nullptr;  // valid until the keys are replaced
 };
 
-// What the front knows of a request before it is taken.
-struct Knock {
-  bool once = false;          // its class must never run twice
-  Tokens reserve = 0;         // prompt and the answer's limit
-  std::string key;            // Idempotency-Key; empty: none
-  std::uint64_t digest = 0;   // of path and body
-  std::uint64_t session = 0;  // its conversation
-  int retry = 0;              // the SDK's count of its own repeats (x-stainless-retry-count)
+// What the front knows of a request before it is admitted.
+struct AdmissionRequest {
+  bool at_most_once = false;    // requests of its class must never run twice
+  Tokens reserved_tokens = 0;   // of the prompt plus the answer's limit
+  std::string idempotency_key;  // the Idempotency-Key header; empty: none
+  std::uint64_t digest = 0;     // hash of path and body
+  std::uint64_t session = 0;    // identifies the conversation
+  int retry_count = 0;          // the client SDK's own count of its retries (x-stainless-retry-count)
 };
 
-enum class Entry {
-  admit,        // take it; `ticket` follows it to its end
-  limited,      // 429: over a limit of its key, with `wait`
-  over_share,   // 429: its tenant holds its part of the table, with `wait`
-  crowded,      // 503: more tenants at once than can be kept count of
-  in_progress,  // 409, with `wait`: the first of these is still open
-  other_body,   // 422: the key was used for another request
-  replay,       // the first one's answer; or, where that is not kept (`answer` null), its outcome is unknown
-  unprotected,  // 503: the ledger is full, and this one must not run without it
+enum class AdmissionStatus {
+  admitted,          // accepted; `ticket` identifies it until it ends
+  limited,           // 429: over a limit of its key; `wait` is set
+  over_share,        // 429: its tenant has used up its share of the table; `wait` is set
+  too_many_tenants,  // 503: more tenants are active at once than the limiter can track
+  in_progress,       // 409: the first request with this key is still running; `wait` is set
+  key_reused,        // 422: the key was used for a different request
+  replay,            // repeat of an ended request: `answer` is its answer, null if unknown
+  ledger_full,       // 503: the ledger is full, and the request must not run without an entry
 };
 
+// Identifies an admitted request until it ends.
 struct Ticket {
   std::string tenant;
-  std::string key_id;  // empty without keys
-  Limits limits;       // as they were when it was taken: they may change while it runs
+  std::string key_id;  // empty if no API keys are configured
+  Limits limits;       // at the time of admission; the key's limits may change while it runs
   Tokens reserved = 0;
-  Ledger::Number entry = 0;  // 0: not in the ledger
-  bool by_key = false;       // it is there under its client's own key
+  Ledger::Number ledger_entry = 0;  // 0: it has no ledger entry
+  bool by_key = false;              // its ledger entry is named by the client's Idempotency-Key
 };
 
-struct Pass {
-  Entry entry = Entry::admit;
+struct AdmissionResult {
+  AdmissionStatus status = AdmissionStatus::admitted;
   Duration wait{0};
   Limited limited = Limited::none;
-  Standing standing;
+  LimitStatus limit_status;
   Ticket ticket;
-  const Recorded* answer = nullptr;  // with `replay`; until the next call
+  const Recorded* answer = nullptr;  // only with `replay`; valid until the next call
 };
 
-// How one that was admitted has ended.
-struct Ended {
-  bool ran = false;                // it may have run
-  std::optional<Tokens> used;      // by the box's word, which may be wrong; none given: what was reserved
-  Tokens most = 0;                 // more than it can have used
-  std::optional<Recorded> answer;  // the whole answer, where its client was given one
+// How an admitted request ended.
+struct RequestResult {
+  bool may_have_run = false;  // some attempt may have executed it
+  // As reported by the instance, whose figure may be wrong; unset: what was reserved is charged.
+  std::optional<Tokens> used_tokens;
+  Tokens max_tokens = 0;           // upper bound on what it can have used
+  std::optional<Recorded> answer;  // the complete answer, if its client received one
 };
 
-// A tenant as the operator sees it.
+// Counters of one tenant, for the operator page.
 struct TenantUse {
   std::string name;
   std::size_t open = 0;
+  // Requests that were: admitted; over a rate limit; over the tenant's share; answered from the ledger;
+  // rejected because of their ledger entry or for lack of one.
   std::uint64_t admitted = 0, limited = 0, over_share = 0, replayed = 0, held_off = 0;
-  std::uint64_t tokens = 0;  // settled
+  std::uint64_t tokens = 0;  // charged to ended requests
 };
 
+// Decides for each request whether it is admitted, and keeps account of it until it ends.
 class Door {
  public:
-  explicit Door(DoorLimits limits) : limits_(limits), limiter_(limits.most_tenants), ledger_(limits.ledger) {}
+  explicit Door(DoorLimits limits) : limits_(limits), limiter_(limits.max_tenants), ledger_(limits.ledger) {}
 
-  // No ring: everyone may ask, as one tenant without limits.
-  void keys(std::optional<KeyRing> ring) { ring_ = std::move(ring); }
-  [[nodiscard]] const std::optional<KeyRing>& keys() const { return ring_; }
+  // Replaces the API keys. Without any, all clients are accepted, as one tenant without limits.
+  void keys(std::optional<KeyRing> ring) { keys_ = std::move(ring); }
+  [[nodiscard]] const std::optional<KeyRing>& keys() const { return keys_; }
 
-  // `credentials`: of the Authorization header. Nothing: they are not known (401).
+  // Authenticates the credentials of an Authorization header; nullopt if they are not known (401).
   [[nodiscard]] std::optional<Caller> identify(std::string_view credentials) const;
-  // Counts one who was turned away for that.
-  void turned_away_unknown() { ++unknown_keys_; }
+  // Counts a request that was rejected because `identify` failed.
+  void count_unknown_key() { ++unknown_keys_; }
   [[nodiscard]] static bool may_use(const Caller& caller, const std::string& model);
-  Pass knock(Time now, const Caller& caller, const Knock& knock);
-  // An attempt that may run it is about to be written to a box; or, with false, has proved not to have run.
-  void sent(const Ticket& ticket, bool out = true);
-  // Once for each that was admitted.
-  void ended(Time now, const Ticket& ticket, Ended end);
-
-  [[nodiscard]] const std::map<std::string, TenantUse>& tenants() const { return uses_; }
+  // Decides on a request. Once admitted, it must be ended by exactly one call of request_ended.
+  AdmissionResult admit(Time now, const Caller& caller, const AdmissionRequest& request);
+  // True: an attempt is about to be written to an instance, which may execute the request. False: that
+  // attempt has ended and is proved not to have executed it.
+  void record_attempt(const Ticket& ticket, bool may_have_run = true);
+  // Settles the account of an admitted request; called once for each.
+  void request_ended(Time now, const Ticket& ticket, RequestResult end);
+
+  [[nodiscard]] const std::map<std::string, TenantUse>& tenants() const { return usage_; }
   [[nodiscard]] std::uint64_t unknown_keys() const { return unknown_keys_; }
   [[nodiscard]] const Ledger& ledger() const { return ledger_; }
   [[nodiscard]] const Limiter& limiter() const { return limiter_; }
 
  private:
-  TenantUse& use(const std::string& tenant);
-  [[nodiscard]] bool has_room(const TenantUse& tenant) const;
+  TenantUse& usage_of(const std::string& tenant);
+  [[nodiscard]] bool within_share(const TenantUse& tenant) const;
 
   DoorLimits limits_;
-  std::optional<KeyRing> ring_;
+  std::optional<KeyRing> keys_;
   Limiter limiter_;
   Ledger ledger_;
-  std::map<std::string, TenantUse> uses_;  // at most `most_tenants`; those with nothing open go first
-  std::size_t open_ = 0, at_work_ = 0;     // requests, and tenants that have one open
+  // By tenant. At `max_tenants` entries, those without open requests are dropped.
+  std::map<std::string, TenantUse> usage_;
+  std::size_t open_requests_ = 0, active_tenants_ = 0;  // open requests, and tenants that have any
   std::uint64_t unknown_keys_ = 0;
 };
 
--- a/src/admission/keys.cpp
+++ b/src/admission/keys.cpp
@@ -11,30 +11,30 @@
 
 constexpr std::string_view kPrefix = "bmx-";
 
-bool hexadecimal(std::string_view text) {
+bool is_hex(std::string_view text) {
   return std::ranges::all_of(text, [](char c) { return (c >= '0' && c <= '9') || (c >= 'a' && c <= 'f'); });
 }
 
 }  // namespace
 
 Hash hash_secret(const Salt& salt, std::string_view secret) {
-  static const bool kReady = sodium_init() >= 0;  // once; after that it only says so
-  if (!kReady) throw std::runtime_error("libsodium cannot start");
+  static const bool kSodiumReady = sodium_init() >= 0;  // initialises once; later calls only report it
+  if (!kSodiumReady) throw std::runtime_error("libsodium cannot start");
   Hash hash{};
-  // BLAKE2b keyed by the salt: one hash of the secret alone, for a different one at each key.
+  // BLAKE2b keyed by the salt, so that the same secret has a different hash for each key.
   crypto_generichash(hash.data(), hash.size(), reinterpret_cast<const unsigned char*>(secret.data()),
                      secret.size(), salt.data(), salt.size());
   return hash;
 }
 
-std::optional<Presented> split_key(std::string_view text) {
+std::optional<KeyParts> parse_key(std::string_view text) {
   if (!text.starts_with(kPrefix)) return std::nullopt;
   text.remove_prefix(kPrefix.size());
   const std::size_t dash = text.find('-');
   if (dash != 2 * kIdBytes || text.size() != dash + 1 + 2 * kSecretBytes) return std::nullopt;
   const std::string_view id = text.substr(0, dash), secret = text.substr(dash + 1);
-  if (!hexadecimal(id) || !hexadecimal(secret)) return std::nullopt;
-  return Presented{std::string(id), std::string(secret)};
+  if (!is_hex(id) || !is_hex(secret)) return std::nullopt;
+  return KeyParts{std::string(id), std::string(secret)};
 }
 
 std::string join_key(const std::string& id, const std::string& secret) {
@@ -47,16 +47,15 @@
     if (!keys_.emplace(id, std::move(key)).second)
       throw std::invalid_argument("key '" + id + "' is there twice");
   }
-  stand_in_.hash.fill(0xff);
+  decoy_key_.hash.fill(0xff);
 }
 
 const Key* KeyRing::check(std::string_view text) const {
-  const std::optional<Presented> presented = split_key(text);
-  const auto it = presented ? keys_.find(presented->id) : keys_.end();
-  const Key& against = it == keys_.end() ? stand_in_ : it->second;
-  const Hash hash =
-      hash_secret(against.salt, presented ? presented->secret : std::string(2 * kSecretBytes, '0'));
-  const bool same = sodium_memcmp(hash.data(), against.hash.data(), hash.size()) == 0;
+  const std::optional<KeyParts> parts = parse_key(text);
+  const auto it = parts ? keys_.find(parts->id) : keys_.end();
+  const Key& expected = it == keys_.end() ? decoy_key_ : it->second;
+  const Hash hash = hash_secret(expected.salt, parts ? parts->secret : std::string(2 * kSecretBytes, '0'));
+  const bool same = sodium_memcmp(hash.data(), expected.hash.data(), hash.size()) == 0;
   return same && it != keys_.end() ? &it->second : nullptr;
 }
 
--- a/src/admission/ledger.cpp
+++ b/src/admission/ledger.cpp
@@ -7,75 +7,78 @@
 
 namespace {
 
-// The length keeps two pairs apart that join to the same text.
-std::string name_of(const std::string& tenant, const std::string& key) {
+// The length prefix distinguishes pairs whose concatenation is the same text.
+std::string lookup_key(const std::string& tenant, const std::string& key) {
   return std::to_string(tenant.size()) + ':' + tenant + key;
 }
 
 }  // namespace
 
-Ledger::Begun Ledger::begin(Time now, const std::string& tenant, const std::string& key, std::uint64_t digest,
-                            bool once, bool first) {
+Ledger::BeginResult Ledger::begin(Time now, const std::string& tenant, const std::string& key,
+                                  std::uint64_t digest, bool at_most_once, bool first_try) {
   expire(now);
-  std::string name = name_of(tenant, key);
-  if (const auto known = by_name_.find(name); known != by_name_.end()) {
+  std::string name = lookup_key(tenant, key);
+  if (const auto known = by_lookup_key_.find(name); known != by_lookup_key_.end()) {
     Entry& entry = entries_.at(known->second);
-    if (entry.digest != digest) return {Found::other_body, known->second, nullptr};
-    if (first) {
-      if (entry.place) kind(entry).erase(*std::exchange(entry.place, std::nullopt));
+    if (entry.digest != digest) return {BeginStatus::key_reused, known->second, nullptr};
+    if (first_try) {
+      if (entry.eviction_position)
+        ended_list(entry).erase(*std::exchange(entry.eviction_position, std::nullopt));
       ++entry.open;
-      return {Found::fresh, known->second, nullptr};
+      return {BeginStatus::fresh, known->second, nullptr};
     }
-    if (entry.open > 0) return {Found::open, known->second, nullptr};
-    return {Found::ended, known->second, entry.answer && !entry.unknown ? &*entry.answer : nullptr};
+    if (entry.open > 0) return {BeginStatus::running, known->second, nullptr};
+    return {BeginStatus::ended, known->second,
+            entry.answer && !entry.outcome_unknown ? &*entry.answer : nullptr};
   }
-  if (entries_.size() >= limits_.entries && !make_room()) return {Found::full, 0, nullptr};
-  const Number number = ++last_;
+  if (entries_.size() >= limits_.entries && !evict_repeatable()) return {BeginStatus::full, 0, nullptr};
+  const Number number = ++last_number_;
   Entry entry;
   entry.tenant = tenant;
   entry.key = key;
   entry.digest = digest;
-  entry.once = once;
+  entry.at_most_once = at_most_once;
   entries_.emplace(number, std::move(entry));
-  by_name_.emplace(std::move(name), number);
-  return {Found::fresh, number, nullptr};
+  by_lookup_key_.emplace(std::move(name), number);
+  return {BeginStatus::fresh, number, nullptr};
 }
 
-void Ledger::wrote(Number number, bool out) {
+void Ledger::wrote(Number number, bool may_have_run) {
   const auto it = entries_.find(number);
-  if (it != entries_.end()) it->second.out = std::max(it->second.out + (out ? 1 : -1), 0);
+  if (it != entries_.end())
+    it->second.pending_attempts = std::max(it->second.pending_attempts + (may_have_run ? 1 : -1), 0);
 }
 
-void Ledger::end(Time now, Number number, bool ran, std::optional<Recorded> answer) {
+void Ledger::end(Time now, Number number, bool may_have_run, std::optional<Recorded> answer) {
   expire(now);
   const auto it = entries_.find(number);
   if (it == entries_.end() || it->second.open == 0) return;
   Entry& entry = it->second;
   --entry.open;
-  entry.ran |= ran;
+  entry.may_have_run |= may_have_run;
   if (answer && answer->body.size() > limits_.one_answer) answer.reset();
-  if (ran && !answer) entry.unknown = true;
-  if (ran && answer) {
-    if (entry.answer) forget_answer(entry);
-    bytes_ += answer->body.size();
+  if (may_have_run && !answer) entry.outcome_unknown = true;
+  if (may_have_run && answer) {
+    if (entry.answer) drop_answer(entry);
+    answer_bytes_ += answer->body.size();
     entry.answer = std::move(answer);
-    entry.recorded = recorded_.insert(recorded_.end(), number);
+    entry.answer_position = with_answer_.insert(with_answer_.end(), number);
   }
   if (entry.open == 0) {
-    // A safe one of which no answer is kept protects nothing: its repeat may as well run.
-    if (!entry.ran || (entry.unknown && !entry.once)) return drop(it);
-    entry.out = 0;
+    // A repeatable request whose answer is not kept needs no protection: its repeat may run.
+    if (!entry.may_have_run || (entry.outcome_unknown && !entry.at_most_once)) return erase_entry(it);
+    entry.pending_attempts = 0;
     entry.ended = now_;
-    entry.place = kind(entry).insert(kind(entry).end(), number);
+    entry.eviction_position = ended_list(entry).insert(ended_list(entry).end(), number);
   }
-  // Answers make room for newer ones; the protection of what they belong to stays.
-  while (bytes_ > limits_.answer_bytes) {
-    const auto oldest = entries_.find(recorded_.front());
-    if (!oldest->second.once && oldest->second.open == 0) {
-      drop(oldest);
+  // Evict the oldest answers. At-most-once and running requests keep their entries, with an unknown outcome.
+  while (answer_bytes_ > limits_.answer_bytes) {
+    const auto oldest = entries_.find(with_answer_.front());
+    if (!oldest->second.at_most_once && oldest->second.open == 0) {
+      erase_entry(oldest);
     } else {
-      forget_answer(oldest->second);
-      oldest->second.unknown = true;
+      drop_answer(oldest->second);
+      oldest->second.outcome_unknown = true;
     }
   }
 }
@@ -84,42 +87,42 @@
   std::vector<Shown> found;
   for (const auto& [number, e] : entries_) {
     if (e.key != key) continue;
-    found.push_back({e.tenant, e.key, e.once, e.open, e.ran || e.out > 0,
-                     e.answer && !e.unknown ? e.answer->status : 0, e.answer ? e.answer->body.size() : 0,
-                     e.open > 0 ? Duration{0} : now_ - e.ended});
+    found.push_back({e.tenant, e.key, e.at_most_once, e.open, e.may_have_run || e.pending_attempts > 0,
+                     e.answer && !e.outcome_unknown ? e.answer->status : 0,
+                     e.answer ? e.answer->body.size() : 0, e.open > 0 ? Duration{0} : now_ - e.ended});
   }
   return found;
 }
 
 void Ledger::expire(Time now) {
   now_ = std::max(now_, now);
-  for (std::list<Number>* list : {&once_, &safe_}) {
+  for (std::list<Number>* list : {&ended_at_most_once_, &ended_repeatable_}) {
     while (!list->empty()) {
       const auto oldest = entries_.find(list->front());
       if (now_ - oldest->second.ended < limits_.age) break;
-      drop(oldest);
+      erase_entry(oldest);
     }
   }
 }
 
-bool Ledger::make_room() {
-  if (safe_.empty()) return false;
-  drop(entries_.find(safe_.front()));
+bool Ledger::evict_repeatable() {
+  if (ended_repeatable_.empty()) return false;
+  erase_entry(entries_.find(ended_repeatable_.front()));
   return true;
 }
 
-void Ledger::forget_answer(Entry& entry) {
+void Ledger::drop_answer(Entry& entry) {
   if (!entry.answer) return;
-  bytes_ -= entry.answer->body.size();
-  recorded_.erase(entry.recorded);
+  answer_bytes_ -= entry.answer->body.size();
+  with_answer_.erase(entry.answer_position);
   entry.answer.reset();
 }
 
-void Ledger::drop(Entries::iterator it) {
+void Ledger::erase_entry(Entries::iterator it) {
   Entry& entry = it->second;
-  forget_answer(entry);
-  if (entry.place) kind(entry).erase(*entry.place);
-  by_name_.erase(name_of(entry.tenant, entry.key));
+  drop_answer(entry);
+  if (entry.eviction_position) ended_list(entry).erase(*entry.eviction_position);
+  by_lookup_key_.erase(lookup_key(entry.tenant, entry.key));
   entries_.erase(it);
 }
 
--- a/src/admission/ledger.hpp
+++ b/src/admission/ledger.hpp
@@ -1,5 +1,6 @@
-// At most once across clients' own repeats: what became of each request under its idempotency key. Pure; a
-// store on disk can follow the same calls. Bounds: entries, bytes of recorded answers, age.
+// The idempotency ledger: keeps the state and answer of each request under its idempotency key, so that a
+// client's repeat does not run a second time. Bounded by entries, bytes of recorded answers and age. Has no
+// I/O and no clock; a store on disk could implement the same interface.
 #pragma once
 
 #include <cstdint>
@@ -18,12 +19,13 @@
 
 struct LedgerLimits {
   std::size_t entries = 20'000;                // 0: no ledger
-  std::size_t answer_bytes = 8 * 1024 * 1024;  // of all recorded answers together
-  std::size_t one_answer = 256 * 1024;         // a larger one is not kept; its request stays protected
-  Duration age{3'600'000'000};                 // from its end on
+  std::size_t answer_bytes = 8 * 1024 * 1024;  // total of all recorded answers
+  // Limit for one answer; a larger one is not kept, but its request stays protected.
+  std::size_t one_answer = 256 * 1024;
+  Duration age{3'600'000'000};  // how long an entry is kept after its request ended, in microseconds
 };
 
-// The first one's answer, to be given again word for word.
+// The answer to a request, kept to be sent again byte for byte.
 struct Recorded {
   int status = 0;
   std::string content_type;
@@ -34,78 +36,83 @@
 class Ledger {
  public:
   using Number = std::uint64_t;
-  enum class Found {
-    fresh,       // run it; the entry is open under `number`
-    open,        // the first is still running
-    ended,       // `answer` is what it came to, where that is kept; else its outcome is unknown
-    other_body,  // the key was used for something else
-    full,        // it cannot be protected
+  enum class BeginStatus {
+    fresh,       // run the request; its entry is open under `number`
+    running,     // the first request is still running
+    ended,       // `answer` is its answer, or null if the outcome is unknown
+    key_reused,  // the key was used for a request with another digest
+    full,        // no room for an entry, so the request cannot be protected
   };
-  struct Begun {
-    Found found = Found::fresh;
+  struct BeginResult {
+    BeginStatus status = BeginStatus::fresh;
     Number number = 0;
-    const Recorded* answer = nullptr;  // until the next call
+    const Recorded* answer = nullptr;  // valid until the next call
   };
-  // An entry as an operator sees it.
+  // An entry as shown to operators.
   struct Shown {
     std::string tenant, key;
-    bool once = false;
-    int open = 0;  // requests under it that are running
+    bool once = false;  // requests of its class must not run twice
+    int open = 0;       // requests under this key that are running
     bool may_have_run = false;
-    int status = 0;         // of the recorded answer; 0: none is kept
-    std::size_t bytes = 0;  // of that answer
+    int status = 0;         // HTTP status of the recorded answer; 0: none is kept
+    std::size_t bytes = 0;  // body size of that answer
     Duration since_end{0};
   };
 
   explicit Ledger(LedgerLimits limits) : limits_(limits) {}
 
-  // `digest`: of the body. `once`: its class must not run twice, so its entry is kept for its whole age.
-  // `first`: by its own word a first try, told apart from others only by what it asks: it runs, and shares
-  // the entry of its twins, so that a repeat of any of them finds what may have run.
-  Begun begin(Time now, const std::string& tenant, const std::string& key, std::uint64_t digest, bool once,
-              bool first = false);
-  // An attempt that may run it is about to go out; or, with false, has proved not to have run it.
-  void wrote(Number number, bool out = true);
-  // The end of one request under it. Where none ever ran nothing is remembered, and a repeat is run; where
-  // one ran and left no answer the outcome is unknown, unless it may run again anyway.
-  void end(Time now, Number number, bool ran, std::optional<Recorded> answer);
+  // Opens an entry for a request, or finds the one of an earlier request with the same key.
+  // `digest`: of path and body. `at_most_once`: requests of its class must not run twice, so the entry is
+  // kept for its whole age. `first_try`: the request has no key of its own and does not claim to be a retry.
+  // It runs, and shares one entry with identical requests, so that a repeat of any of them finds what may
+  // have run.
+  BeginResult begin(Time now, const std::string& tenant, const std::string& key, std::uint64_t digest,
+                    bool at_most_once, bool first_try = false);
+  // True: an attempt that may execute the request is about to be sent. False: that attempt is proved not to
+  // have executed it.
+  void wrote(Number number, bool may_have_run = true);
+  // One request under the entry has ended. If none ever ran, the entry is erased and a repeat runs. If one
+  // may have run and left no answer, the outcome is unknown, unless the request may run again anyway.
+  void end(Time now, Number number, bool may_have_run, std::optional<Recorded> answer);
 
-  // All entries under a key, of every tenant.
+  // All entries under a key, of all tenants.
   [[nodiscard]] std::vector<Shown> find(const std::string& key) const;
   [[nodiscard]] const LedgerLimits& limits() const { return limits_; }
   [[nodiscard]] std::size_t entries() const { return entries_.size(); }
-  [[nodiscard]] std::size_t answer_bytes() const { return bytes_; }
+  [[nodiscard]] std::size_t answer_bytes() const { return answer_bytes_; }
 
  private:
   struct Entry {
     std::string tenant, key;
     std::uint64_t digest = 0;
-    bool once = false;
-    int open = 1;          // requests under it that have not ended
-    int out = 0;           // attempts that may be running one
-    bool ran = false;      // one that has ended may have run
-    bool unknown = false;  // and left no answer that is kept
+    bool at_most_once = false;
+    int open = 1;                  // requests under this entry that have not ended
+    int pending_attempts = 0;      // attempts that may be executing one of them
+    bool may_have_run = false;     // a request that has ended may have been executed
+    bool outcome_unknown = false;  // the answer of such a request is not kept
     Time ended{0};
     std::optional<Recorded> answer;
-    std::optional<std::list<Number>::iterator> place;  // in the list of its kind, once ended
-    std::list<Number>::iterator recorded;              // in the list of answers, where it has one
+    std::optional<std::list<Number>::iterator> eviction_position;  // in ended_list(), once ended
+    std::list<Number>::iterator answer_position;                   // in with_answer_, if it has an answer
   };
   using Entries = std::unordered_map<Number, Entry>;
 
-  [[nodiscard]] std::list<Number>& kind(const Entry& entry) { return entry.once ? once_ : safe_; }
+  [[nodiscard]] std::list<Number>& ended_list(const Entry& entry) {
+    return entry.at_most_once ? ended_at_most_once_ : ended_repeatable_;
+  }
   void expire(Time now);
-  bool make_room();
-  void drop(Entries::iterator entry);
-  void forget_answer(Entry& entry);
+  bool evict_repeatable();
+  void erase_entry(Entries::iterator entry);
+  void drop_answer(Entry& entry);
 
   LedgerLimits limits_;
   Time now_{0};
-  Number last_ = 0;
-  std::size_t bytes_ = 0;
+  Number last_number_ = 0;
+  std::size_t answer_bytes_ = 0;
   Entries entries_;
-  std::unordered_map<std::string, Number> by_name_;
-  std::list<Number> once_, safe_;  // ended ones, the oldest in front
-  std::list<Number> recorded_;     // those whose answer is kept, the oldest in front
+  std::unordered_map<std::string, Number> by_lookup_key_;
+  std::list<Number> ended_at_most_once_, ended_repeatable_;  // ended entries, oldest first
+  std::list<Number> with_answer_;                            // entries whose answer is kept, oldest first
 };
 
 }  // namespace bankmux::admission
--- a/src/admission/limiter.cpp
+++ b/src/admission/limiter.cpp
@@ -9,24 +9,24 @@
 
 namespace {
 
-constexpr Duration kWindow = 1min;   // how much may come at once: a minute's worth
-constexpr Duration kLookEvery = 1s;  // through a full table
-constexpr Tokens kMostTokens = 1'000'000'000;
+constexpr Duration kWindow = 1min;       // largest burst: what the limit allows in one minute
+constexpr Duration kSweepInterval = 1s;  // minimum time between sweeps of a full table
+constexpr Tokens kMaxTokens = 1'000'000'000;
 
-// The time that so many of so many a minute stand for.
-Duration cost(std::int64_t count, std::int64_t per_minute) {
+// The time in which `count` accrues at a rate of `per_minute`.
+Duration time_cost(std::int64_t count, std::int64_t per_minute) {
   return Duration(std::int64_t(double(kWindow.count()) * double(count) / double(per_minute)));
 }
 
-std::int64_t left(Time now, Time arrival, std::int64_t per_minute) {
+std::int64_t remaining(Time now, Time arrival, std::int64_t per_minute) {
   if (per_minute <= 0) return 0;
   const Duration room = kWindow - std::max(arrival - now, Duration{0});
   return std::max<std::int64_t>(
       std::int64_t(double(room.count()) * double(per_minute) / double(kWindow.count())), 0);
 }
 
-// How long until this much fits; never, were it more than a minute's worth, so that waits for a full
-// allowance.
+// The time until a cost of `price` fits. A price above one minute's allowance would never fit, so it waits
+// only until the allowance is full.
 Duration wait_for(Time now, Time arrival, Duration price) {
   return std::max(std::max(arrival, now) + std::min(price, Duration(kWindow)) - kWindow - now, Duration{0});
 }
@@ -35,42 +35,43 @@
 
 Time Limiter::advance(Time now) { return now_ = std::max(now_, now); }
 
-// Forgets those who are as if they had never come.
-bool Limiter::make_room(Time now) {
-  if (tenants_.size() < most_) return true;
-  // Guards the loop: one look through all of them costs milliseconds, and newcomers may come by the thousand.
-  if (now < look_again_) return false;
-  look_again_ = now + kLookEvery;
+// Drops tenants without open requests whose allowance is full again; they need no state.
+bool Limiter::evict_idle(Time now) {
+  if (tenants_.size() < max_tenants_) return true;
+  // A sweep of the whole table takes milliseconds and thousands of new tenants may arrive at once, so sweeps
+  // are rate-limited to keep the event loop responsive.
+  if (now < next_sweep_) return false;
+  next_sweep_ = now + kSweepInterval;
   std::erase_if(tenants_, [now](const auto& entry) {
     return entry.second.open == 0 && entry.second.requests <= now && entry.second.tokens <= now;
   });
-  return tenants_.size() < most_;
+  return tenants_.size() < max_tenants_;
 }
 
-Decision Limiter::take(Time told, const std::string& tenant, const Limits& limits, Tokens reserved) {
-  const Time now = advance(told);
-  reserved = std::clamp<Tokens>(reserved, 0, kMostTokens);
+Decision Limiter::take(Time caller_time, const std::string& tenant, const Limits& limits, Tokens reserved) {
+  const Time now = advance(caller_time);
+  reserved = std::clamp<Tokens>(reserved, 0, kMaxTokens);
   const auto known = tenants_.find(tenant);
   const Tenant before = known != tenants_.end() ? known->second : Tenant{};
-  const auto turned_away = [&](Limited why, Duration wait) {
+  const auto reject = [&](Limited why, Duration wait) {
     return Decision{why, wait, standing(now, tenant, limits)};
   };
-  if (limits.open > 0 && before.open >= limits.open) return turned_away(Limited::open, Duration{0});
+  if (limits.open > 0 && before.open >= limits.open) return reject(Limited::open, Duration{0});
   if (limits.requests_per_minute > 0) {
-    const Duration wait = wait_for(now, before.requests, cost(1, limits.requests_per_minute));
-    if (wait > Duration{0}) return turned_away(Limited::requests, wait);
+    const Duration wait = wait_for(now, before.requests, time_cost(1, limits.requests_per_minute));
+    if (wait > Duration{0}) return reject(Limited::requests, wait);
   }
   if (limits.tokens_per_minute > 0) {
-    const Duration wait = wait_for(now, before.tokens, cost(reserved, limits.tokens_per_minute));
-    if (wait > Duration{0}) return turned_away(Limited::tokens, wait);
+    const Duration wait = wait_for(now, before.tokens, time_cost(reserved, limits.tokens_per_minute));
+    if (wait > Duration{0}) return reject(Limited::tokens, wait);
   }
-  if (known == tenants_.end() && !make_room(now)) return turned_away(Limited::too_many_tenants, kWindow);
+  if (known == tenants_.end() && !evict_idle(now)) return reject(Limited::too_many_tenants, kWindow);
   Tenant& entry = tenants_[tenant];
   if (limits.requests_per_minute > 0) {
-    entry.requests = std::max(entry.requests, now) + cost(1, limits.requests_per_minute);
+    entry.requests = std::max(entry.requests, now) + time_cost(1, limits.requests_per_minute);
   }
   if (limits.tokens_per_minute > 0) {
-    entry.tokens = std::max(entry.tokens, now) + cost(reserved, limits.tokens_per_minute);
+    entry.tokens = std::max(entry.tokens, now) + time_cost(reserved, limits.tokens_per_minute);
   }
   ++entry.open;
   return {Limited::none, Duration{0}, standing(now, tenant, limits)};
@@ -79,31 +80,32 @@
 void Limiter::refund(const std::string& tenant, const Limits& limits, std::int64_t requests, Tokens tokens) {
   const auto it = tenants_.find(tenant);
   if (it == tenants_.end()) return;
-  if (limits.requests_per_minute > 0) it->second.requests -= cost(requests, limits.requests_per_minute);
-  if (limits.tokens_per_minute > 0) it->second.tokens -= cost(tokens, limits.tokens_per_minute);
+  if (limits.requests_per_minute > 0) it->second.requests -= time_cost(requests, limits.requests_per_minute);
+  if (limits.tokens_per_minute > 0) it->second.tokens -= time_cost(tokens, limits.tokens_per_minute);
   it->second.open = std::max(it->second.open - 1, 0);
 }
 
-void Limiter::settle(Time told, const std::string& tenant, const Limits& limits, Tokens reserved, Tokens used,
-                     Tokens most) {
-  (void)advance(told);
-  reserved = std::clamp<Tokens>(reserved, 0, kMostTokens);
-  // A box's word may be missing, wrong or hostile.
-  used = std::clamp<Tokens>(used, 0, std::clamp<Tokens>(most, 0, kMostTokens));
+void Limiter::settle(Time caller_time, const std::string& tenant, const Limits& limits, Tokens reserved,
+                     Tokens used, Tokens max_used) {
+  (void)advance(caller_time);
+  reserved = std::clamp<Tokens>(reserved, 0, kMaxTokens);
+  // An instance's usage figure may be missing, wrong or hostile.
+  used = std::clamp<Tokens>(used, 0, std::clamp<Tokens>(max_used, 0, kMaxTokens));
   refund(tenant, limits, 0, reserved - used);
 }
 
-void Limiter::give_back(Time told, const std::string& tenant, const Limits& limits, Tokens reserved) {
-  (void)advance(told);
-  refund(tenant, limits, 1, std::clamp<Tokens>(reserved, 0, kMostTokens));
+void Limiter::refund_request(Time caller_time, const std::string& tenant, const Limits& limits,
+                             Tokens reserved) {
+  (void)advance(caller_time);
+  refund(tenant, limits, 1, std::clamp<Tokens>(reserved, 0, kMaxTokens));
 }
 
-Standing Limiter::standing(Time told, const std::string& tenant, const Limits& limits) const {
-  const Time now = std::max(now_, told);
+LimitStatus Limiter::standing(Time caller_time, const std::string& tenant, const Limits& limits) const {
+  const Time now = std::max(now_, caller_time);
   const auto it = tenants_.find(tenant);
   const Tenant entry = it != tenants_.end() ? it->second : Tenant{};
-  return {left(now, entry.requests, limits.requests_per_minute),
-          left(now, entry.tokens, limits.tokens_per_minute), std::max(entry.requests - now, Duration{0}),
+  return {remaining(now, entry.requests, limits.requests_per_minute),
+          remaining(now, entry.tokens, limits.tokens_per_minute), std::max(entry.requests - now, Duration{0}),
           std::max(entry.tokens - now, Duration{0})};
 }
 
--- a/src/admission/limiter.hpp
+++ b/src/admission/limiter.hpp
@@ -1,6 +1,6 @@
-// How much each tenant may ask: requests and tokens a minute by GCRA (ITU-T I.371, virtual scheduling), and
-// requests open at once. Pure; times are the caller's and may be told backwards, which then counts as no time
-// passed.
+// Rate limits of each tenant: requests and tokens per minute by GCRA (ITU-T I.371, virtual scheduling), and
+// concurrently open requests. Has no clock: times are passed in; a time before the last one counts as the
+// last one.
 #pragma once
 
 #include <cstdint>
@@ -15,56 +15,59 @@
 using eiderarch::Time;
 using eiderarch::Tokens;
 
-// 0: not limited.
+// The limits of one API key; 0: not limited.
 struct Limits {
   std::int64_t requests_per_minute = 0;
   std::int64_t tokens_per_minute = 0;
   int open = 0;
 };
 
+// The limit that a request exceeds; `too_many_tenants`: the limiter cannot track another tenant.
 enum class Limited { none, requests, tokens, open, too_many_tenants };
 
-// What a client may be told: how much is left, and when all of it will be there again.
-struct Standing {
+// What is left of the limits and the time until the full allowance is available again, for response headers.
+struct LimitStatus {
   std::int64_t left_requests = 0, left_tokens = 0;
   Duration reset_requests{0}, reset_tokens{0};
 };
 
 struct Decision {
   Limited limited = Limited::none;
-  Duration wait{0};  // until the same request would pass, were nothing else to come; 0 for `open`
-  Standing standing;
+  Duration wait{0};  // until the same request would pass if no other came; 0 for `open`
+  LimitStatus limit_status;
 };
 
+// Applies the limits. `tenant` is the key that state is kept under; admission passes the ID of an API key.
 class Limiter {
  public:
-  explicit Limiter(std::size_t most_tenants = 100'000) : most_(most_tenants) {}
+  explicit Limiter(std::size_t max_tenants = 100'000) : max_tenants_(max_tenants) {}
 
-  // Takes a request with so many tokens reserved, or says why not; what is turned away costs nothing. A
-  // request of more tokens than a minute has passes on a full allowance, and is paid off after.
+  // Admits a request and reserves its tokens, or returns the limit that it exceeds; a rejected request is not
+  // charged. A request for more tokens than the limit allows in a minute passes on a full allowance, and the
+  // excess delays later requests.
   Decision take(Time now, const std::string& tenant, const Limits& limits, Tokens reserved);
-  // A request that was taken has ended: it used so many tokens. Beyond `most` is not believed.
+  // An admitted request has ended and used `used` tokens, of which at most `max_used` are charged.
   void settle(Time now, const std::string& tenant, const Limits& limits, Tokens reserved, Tokens used,
-              Tokens most);
-  // It never ran: all of it is given back.
-  void give_back(Time now, const std::string& tenant, const Limits& limits, Tokens reserved);
+              Tokens max_used);
+  // An admitted request never ran: refunds all of it.
+  void refund_request(Time now, const std::string& tenant, const Limits& limits, Tokens reserved);
 
-  [[nodiscard]] Standing standing(Time now, const std::string& tenant, const Limits& limits) const;
+  [[nodiscard]] LimitStatus standing(Time now, const std::string& tenant, const Limits& limits) const;
   [[nodiscard]] int open(const std::string& tenant) const;
   [[nodiscard]] std::size_t tenants() const { return tenants_.size(); }
 
  private:
-  // Theoretical arrival times: by then all that was taken is paid off.
+  // Theoretical arrival times (TAT) of GCRA: when the full allowance is available again.
   struct Tenant {
     Time requests{0}, tokens{0};
     int open = 0;
   };
   [[nodiscard]] Time advance(Time now);
-  bool make_room(Time now);
+  bool evict_idle(Time now);
   void refund(const std::string& tenant, const Limits& limits, std::int64_t requests, Tokens tokens);
 
-  std::size_t most_;
-  Time now_{0}, look_again_{0};
+  std::size_t max_tenants_;
+  Time now_{0}, next_sweep_{0};
   std::unordered_map<std::string, Tenant> tenants_;
 };
 
--- a/src/net/openai/admitted.cpp
+++ b/src/net/openai/admitted.cpp
@@ -11,30 +11,30 @@
 
 namespace {
 
-constexpr std::size_t kMostUsage = 4096;  // bytes of a usage object; the published ones have 300
-constexpr double kMostCounted = 1e15;     // beyond it a figure is no count, and no integer of a double
+constexpr std::size_t kMaxUsageBytes = 4096;  // limit for a usage object; those of the published API have 300
+constexpr double kMaxCount = 1e15;            // larger figures are not token counts, nor exact in a double
 
-// A box's figure: missing, negative, infinite or no number at all is none.
+// A count reported by an instance; nullopt if it is missing, negative, infinite or not a number.
 std::optional<double> count(const json& usage, const char* name) {
   const auto it = usage.find(name);
   if (it == usage.end() || !it->is_number()) return std::nullopt;
   const double value = it->get<double>();
   if (!std::isfinite(value) || value < 0) return std::nullopt;
-  return std::min(value, kMostCounted);
+  return std::min(value, kMaxCount);
 }
 
 std::optional<core::Tokens> tokens_of(const json& usage) {
   if (!usage.is_object()) return std::nullopt;
   for (const auto& [in, out] :
        {std::pair("prompt_tokens", "completion_tokens"), std::pair("input_tokens", "output_tokens")}) {
-    const auto read = count(usage, in), written = count(usage, out);
-    if (read && written) return core::Tokens(*read + *written);
+    const auto input = count(usage, in), output = count(usage, out);
+    if (input && output) return core::Tokens(*input + *output);
   }
   const auto total = count(usage, "total_tokens");
   return total ? std::optional(core::Tokens(*total)) : std::nullopt;
 }
 
-// The object that follows a member's name; empty where another value does, or it has no end.
+// The JSON object that follows a member's name; empty if another value follows or the object is incomplete.
 std::string_view object_after(std::string_view text) {
   const std::size_t colon = text.find_first_not_of(" \t\r\n");
   if (colon == std::string_view::npos || text[colon] != ':') return {};
@@ -43,7 +43,7 @@
   if (begin == std::string_view::npos || text[begin] != '{') return {};
   int depth = 0;
   bool quoted = false;
-  for (std::size_t i = begin; i < std::min(text.size(), begin + kMostUsage); ++i) {
+  for (std::size_t i = begin; i < std::min(text.size(), begin + kMaxUsageBytes); ++i) {
     if (quoted) {
       if (text[i] == '\\') {
         ++i;
@@ -63,9 +63,10 @@
 
 }  // namespace
 
-std::optional<core::Tokens> usage_in(std::string_view text) {
-  // Read alone and not as part of its answer, which may be long: within a string its quotes would be escaped.
-  // Searched for by its letters: quotes stand everywhere, and each would be looked at.
+std::optional<core::Tokens> find_usage(std::string_view text) {
+  // Only the usage object is parsed, because the answer around it may be long. Inside a JSON string its
+  // quotes would be escaped, so that the text of an answer does not match. The search is for the name rather
+  // than for the quote before it, because quotes are frequent.
   constexpr std::string_view kName = "usage\"";
   std::optional<core::Tokens> found;
   for (std::size_t at = 0; (at = text.find(kName, at)) != std::string_view::npos; at += kName.size()) {
@@ -77,62 +78,69 @@
   return found;
 }
 
-Admitted::Admitted(admission::Door& door, core::Scheduler& scheduler, admission::Ticket ticket,
-                   core::Tokens most, bool streamed)
-    : door_(door), scheduler_(scheduler), ticket_(std::move(ticket)), most_(most), streamed_(streamed) {}
-
-Admitted::~Admitted() { settle(std::nullopt); }
-
-void Admitted::sending() {
-  ran_ |= sent_;  // nobody has taken the last one back
-  sent_ = true;
-  door_.sent(ticket_);
+RequestAccount::RequestAccount(admission::Door& door, core::Scheduler& scheduler, admission::Ticket ticket,
+                               core::Tokens max_tokens, bool streamed)
+    : door_(door),
+      scheduler_(scheduler),
+      ticket_(std::move(ticket)),
+      max_tokens_(max_tokens),
+      streamed_(streamed) {}
+
+RequestAccount::~RequestAccount() { settle(std::nullopt); }
+
+void RequestAccount::sending() {
+  // If never_ran() was not called for the last attempt, that one may have run.
+  earlier_attempt_may_have_run_ |= last_attempt_may_have_run_;
+  last_attempt_may_have_run_ = true;
+  door_.record_attempt(ticket_);
 }
 
-void Admitted::never_ran() {
-  sent_ = false;
-  door_.sent(ticket_, false);
+void RequestAccount::never_ran() {
+  last_attempt_may_have_run_ = false;
+  door_.record_attempt(ticket_, false);
 }
 
-void Admitted::box_said(std::string_view bytes) {
-  // Events are whole, so a usage object is too.
+void RequestAccount::record_events(std::string_view bytes) {
+  // Callers pass complete events, so a usage object is complete too.
   if (ticket_.key_id.empty()) return;
-  if (const auto used = usage_in(bytes)) used_ = used;
+  if (const auto used = find_usage(bytes)) used_tokens_ = used;
 }
 
-void Admitted::box_answered(std::string_view body) {
-  if (!ticket_.key_id.empty()) used_ = usage_in(body);
+void RequestAccount::record_answer(std::string_view body) {
+  if (!ticket_.key_id.empty()) used_tokens_ = find_usage(body);
 }
 
-bool Admitted::keeps(std::size_t bytes) const {
-  return ticket_.entry != 0 && bytes <= door_.ledger().limits().one_answer;
+bool RequestAccount::fits_ledger(std::size_t bytes) const {
+  return ticket_.ledger_entry != 0 && bytes <= door_.ledger().limits().one_answer;
 }
 
-void Admitted::given(std::string_view bytes) {
-  if (ticket_.entry == 0 || too_large_) return;
-  too_large_ = !keeps(stream_.size() + bytes.size());
+void RequestAccount::record_sent(std::string_view bytes) {
+  if (ticket_.ledger_entry == 0 || too_large_) return;
+  too_large_ = !fits_ledger(sent_stream_.size() + bytes.size());
   if (too_large_) {
-    std::string().swap(stream_);
+    std::string().swap(sent_stream_);
   } else {
-    stream_ += bytes;
+    sent_stream_ += bytes;
   }
 }
 
-void Admitted::served(int status, std::string_view content_type, std::string_view body) {
-  if (too_large_ || !keeps(body.size())) return settle(std::nullopt);
+void RequestAccount::completed(int status, std::string_view content_type, std::string_view body) {
+  if (too_large_ || !fits_ledger(body.size())) return settle(std::nullopt);
   settle(admission::Recorded{status, std::string(content_type),
-                             streamed_ ? std::move(stream_) : std::string(body), streamed_});
+                             streamed_ ? std::move(sent_stream_) : std::string(body), streamed_});
 }
 
-void Admitted::rejected(int status, std::string_view content_type, std::string_view body) {
-  used_ = 0;
-  if (!keeps(body.size())) return settle(std::nullopt);
+void RequestAccount::rejected(int status, std::string_view content_type, std::string_view body) {
+  used_tokens_ = 0;
+  if (!fits_ledger(body.size())) return settle(std::nullopt);
   settle(admission::Recorded{status, std::string(content_type), std::string(body), false});
 }
 
-void Admitted::settle(std::optional<admission::Recorded> answer) {
+void RequestAccount::settle(std::optional<admission::Recorded> answer) {
   if (std::exchange(settled_, true)) return;
-  door_.ended(scheduler_.now(), ticket_, {sent_ || ran_, used_, most_, std::move(answer)});
+  door_.request_ended(scheduler_.now(), ticket_,
+                      {last_attempt_may_have_run_ || earlier_attempt_may_have_run_, used_tokens_, max_tokens_,
+                       std::move(answer)});
 }
 
 }  // namespace bankmux::net::openai
--- a/src/net/openai/admitted.hpp
+++ b/src/net/openai/admitted.hpp
@@ -1,5 +1,6 @@
-// One admitted request's account at the door, from the front to its end: what its client was given, what its
-// box says it used, and whether it may have run. Settles exactly once, at the latest when destroyed.
+// Accounting of one admitted request until its end: what its client was sent, what usage its instance
+// reported, and whether it may have run. Settles with admission control exactly once, at the latest when
+// destroyed.
 #pragma once
 
 #include <optional>
@@ -11,48 +12,49 @@
 
 namespace bankmux::net::openai {
 
-// Tokens by the last `usage` object within an answer or a stream's events, in any dialect of this API; none
-// where there is none, or where its figures are no counts.
-std::optional<core::Tokens> usage_in(std::string_view text);
+// Total tokens in the last `usage` object of an answer or of a stream's events, for any endpoint of this API;
+// nullopt if there is none or its figures are not counts.
+std::optional<core::Tokens> find_usage(std::string_view text);
 
-class Admitted {
+class RequestAccount {
  public:
-  // `most`: tokens; more than the request can have used.
-  Admitted(admission::Door& door, core::Scheduler& scheduler, admission::Ticket ticket, core::Tokens most,
-           bool streamed);
-  ~Admitted();
-  Admitted(const Admitted&) = delete;
-  Admitted& operator=(const Admitted&) = delete;
+  // `max_tokens`: upper bound on the tokens that the request can use.
+  RequestAccount(admission::Door& door, core::Scheduler& scheduler, admission::Ticket ticket,
+                 core::Tokens max_tokens, bool streamed);
+  ~RequestAccount();
+  RequestAccount(const RequestAccount&) = delete;
+  RequestAccount& operator=(const RequestAccount&) = delete;
 
-  // Under its client's own key in the ledger: asking again with that key never runs it twice.
-  [[nodiscard]] bool protects() const { return ticket_.entry != 0 && ticket_.by_key; }
+  // Whether its ledger entry is named by the client's Idempotency-Key, so that a retry never runs it twice.
+  [[nodiscard]] bool protects() const { return ticket_.ledger_entry != 0 && ticket_.by_key; }
 
+  // An attempt that may execute the request is about to be sent; never_ran: it is proved not to have run.
   void sending();
   void never_ran();
-  // What the box says, whole events at a time, or its whole answer.
-  void box_said(std::string_view bytes);
-  void box_answered(std::string_view body);
-  // What the client is given of a stream, in order.
-  void given(std::string_view bytes);
-  // Its client has been given all of it. `body`: of one that is no stream.
-  void served(int status, std::string_view content_type, std::string_view body = {});
-  // Its box found fault with it: the answer is final, and nothing was used.
+  // Reads the usage from complete events of the instance, or from its complete answer.
+  void record_events(std::string_view bytes);
+  void record_answer(std::string_view body);
+  // Records bytes of a stream that are sent to the client, in order.
+  void record_sent(std::string_view bytes);
+  // The client has been sent the complete answer. `body`: of an answer that is not streamed.
+  void completed(int status, std::string_view content_type, std::string_view body = {});
+  // The instance rejected the request as invalid: the answer is final, and no tokens were used.
   void rejected(int status, std::string_view content_type, std::string_view body);
 
  private:
-  [[nodiscard]] bool keeps(std::size_t bytes) const;
+  [[nodiscard]] bool fits_ledger(std::size_t bytes) const;
   void settle(std::optional<admission::Recorded> answer);
 
   admission::Door& door_;
   core::Scheduler& scheduler_;
   admission::Ticket ticket_;
-  core::Tokens most_;
+  core::Tokens max_tokens_;
   bool streamed_;
-  bool sent_ = false;  // its last attempt may run it
-  bool ran_ = false;   // one before that may have
+  bool last_attempt_may_have_run_ = false;     // the latest attempt may have executed it
+  bool earlier_attempt_may_have_run_ = false;  // an attempt before that may have
   bool settled_ = false, too_large_ = false;
-  std::optional<core::Tokens> used_;
-  std::string stream_;  // what was given, while it is small enough to keep
+  std::optional<core::Tokens> used_tokens_;
+  std::string sent_stream_;  // what was sent, as long as it is small enough for the ledger
 };
 
 }  // namespace bankmux::net::openai
--- a/src/net/openai/answer_writer.cpp
+++ b/src/net/openai/answer_writer.cpp
@@ -9,37 +9,41 @@
 
 namespace {
 
-constexpr std::size_t kNoLimit = std::size_t(1) << 30;  // the instance side has bounded events already
-constexpr core::Tokens kLettersPerToken = 4;
+// Effectively unlimited: the instance client has already limited the size of events.
+constexpr std::size_t kNoEventLimit = std::size_t(1) << 30;
+constexpr core::Tokens kBytesPerToken = 4;
 
-class Plain : public AnswerWriter {
+// Sends the answer unchanged.
+class PassthroughFormatter : public AnswerFormatter {
  public:
-  [[nodiscard]] bool transparent() const override { return true; }
+  [[nodiscard]] bool is_passthrough() const override { return true; }
   std::string events(std::string_view bytes) override { return std::string(bytes); }
 };
 
-class Usage : public AnswerWriter {
+// Adds a usage chunk before [DONE] if the instance sent none.
+class UsageFormatter : public AnswerFormatter {
  public:
-  explicit Usage(core::Tokens prompt_tokens) : prompt_(prompt_tokens) {}
+  explicit UsageFormatter(core::Tokens prompt_tokens) : prompt_tokens_(prompt_tokens) {}
 
   std::string events(std::string_view bytes) override {
     std::string out;
     splitter_.feed(bytes, [&](std::string_view event) {
       const std::string data = sse::event_data(event);
-      if (data == "[DONE]" && !told_) out += chunk();
-      look(data);
+      if (data == "[DONE]" && !usage_seen_) out += usage_chunk();
+      inspect(data);
       out += event;
     });
     return out;
   }
 
  private:
-  void look(const std::string& data) {
+  void inspect(const std::string& data) {
     const json value = json::parse(data, nullptr, false);
     if (!value.is_object()) return;
-    if (const auto usage = value.find("usage"); usage != value.end() && usage->is_object()) told_ = true;
+    if (const auto usage = value.find("usage"); usage != value.end() && usage->is_object())
+      usage_seen_ = true;
     for (const char* name : {"id", "object", "created", "model", "system_fingerprint"}) {
-      if (value.contains(name)) about_[name] = value[name];
+      if (value.contains(name)) common_fields_[name] = value[name];
     }
     const auto choices = value.find("choices");
     if (choices == value.end() || !choices->is_array()) return;
@@ -48,29 +52,31 @@
       const json& text = delta != choice.end() ? *delta : choice;
       for (const char* name : {"content", "text"}) {
         const auto it = text.find(name);
-        if (it != text.end() && it->is_string()) letters_ += it->get_ref<const std::string&>().size();
+        if (it != text.end() && it->is_string()) text_bytes_ += it->get_ref<const std::string&>().size();
       }
     }
   }
-  std::string chunk() const {
-    const core::Tokens answer = (core::Tokens(letters_) + kLettersPerToken - 1) / kLettersPerToken;
-    json value = about_;
+  std::string usage_chunk() const {
+    const core::Tokens answer = (core::Tokens(text_bytes_) + kBytesPerToken - 1) / kBytesPerToken;
+    json value = common_fields_;
     value["choices"] = json::array();
-    value["usage"] = {
-        {"prompt_tokens", prompt_}, {"completion_tokens", answer}, {"total_tokens", prompt_ + answer}};
+    value["usage"] = {{"prompt_tokens", prompt_tokens_},
+                      {"completion_tokens", answer},
+                      {"total_tokens", prompt_tokens_ + answer}};
     return "data: " + value.dump(-1, ' ', false, json::error_handler_t::replace) + "\n\n";
   }
 
-  core::Tokens prompt_;
-  sse::EventSplitter splitter_{kNoLimit};
-  json about_ = json::object();  // what each chunk repeats
-  std::size_t letters_ = 0;
-  bool told_ = false;
+  core::Tokens prompt_tokens_;
+  sse::EventSplitter splitter_{kNoEventLimit};
+  json common_fields_ = json::object();  // the fields that every chunk repeats
+  std::size_t text_bytes_ = 0;
+  bool usage_seen_ = false;
 };
 
-class Responses : public AnswerWriter {
+// Translates chat completions to /v1/responses.
+class ResponseFormatter : public AnswerFormatter {
  public:
-  explicit Responses(ResponseEcho echo) : echo_(echo), stream_(std::move(echo)) {}
+  explicit ResponseFormatter(ResponseEcho echo) : echo_(echo), stream_(std::move(echo)) {}
 
   std::string begin() override { return stream_.begin(); }
   std::string events(std::string_view bytes) override {
@@ -90,26 +96,26 @@
   std::string error(std::string_view code, std::string_view message) override {
     return stream_.fail(code, message);
   }
-  [[nodiscard]] bool passes_errors() const override { return false; }
+  [[nodiscard]] bool forwards_error_events() const override { return false; }
 
  private:
   ResponseEcho echo_;
   ResponseStream stream_;
-  sse::EventSplitter splitter_{kNoLimit};
+  sse::EventSplitter splitter_{kNoEventLimit};
 };
 
 }  // namespace
 
-std::string AnswerWriter::error(std::string_view code, std::string_view message) {
+std::string AnswerFormatter::error(std::string_view code, std::string_view message) {
   return "data: " + error_object(message, "server_error", "", code) + "\n\n";
 }
 
-std::unique_ptr<AnswerWriter> plain_writer() { return std::make_unique<Plain>(); }
-std::unique_ptr<AnswerWriter> usage_writer(core::Tokens prompt_tokens) {
-  return std::make_unique<Usage>(prompt_tokens);
+std::unique_ptr<AnswerFormatter> passthrough_formatter() { return std::make_unique<PassthroughFormatter>(); }
+std::unique_ptr<AnswerFormatter> usage_formatter(core::Tokens prompt_tokens) {
+  return std::make_unique<UsageFormatter>(prompt_tokens);
 }
-std::unique_ptr<AnswerWriter> response_writer(ResponseEcho echo) {
-  return std::make_unique<Responses>(std::move(echo));
+std::unique_ptr<AnswerFormatter> response_formatter(ResponseEcho echo) {
+  return std::make_unique<ResponseFormatter>(std::move(echo));
 }
 
 }  // namespace bankmux::net::openai
--- a/src/net/openai/answer_writer.hpp
+++ b/src/net/openai/answer_writer.hpp
@@ -1,5 +1,5 @@
-// How a box's answer is worded for its client: as it came, with the usage that was asked for and left out, or
-// translated. One for each request; pure.
+// Formats an instance's answer for its client: unchanged, with a usage chunk that the client requested but
+// the instance omitted, or translated to /v1/responses. One object for each request; no I/O.
 #pragma once
 
 #include <memory>
@@ -13,29 +13,29 @@
 
 namespace bankmux::net::openai {
 
-class AnswerWriter {
+class AnswerFormatter {
  public:
-  virtual ~AnswerWriter() = default;
-  // Events go out as they come, so events() need not be asked.
-  [[nodiscard]] virtual bool transparent() const { return false; }
-  // A stream's bytes ahead of all events.
+  virtual ~AnswerFormatter() = default;
+  // Events are sent unchanged, so events() need not be called.
+  [[nodiscard]] virtual bool is_passthrough() const { return false; }
+  // Bytes to send before the first event of a stream.
   virtual std::string begin() { return ""; }
-  // `bytes`: one or more whole events. What is to go out for them; may be empty.
+  // `bytes`: one or more complete events. Returns what to send for them, which may be empty.
   virtual std::string events(std::string_view bytes) = 0;
-  // A stream's bytes after all events.
+  // Bytes to send after the last event of a stream.
   virtual std::string end() { return ""; }
-  // A whole answer; nothing where it cannot be worded.
+  // Formats a complete answer that is not streamed; nullopt if it is not in the expected format.
   virtual std::optional<std::string> whole(std::string body) { return body; }
-  // The event that tells a client of a stream's end that is not whole.
+  // The event that reports to the client that its stream is incomplete.
   virtual std::string error(std::string_view code, std::string_view message);
-  // A box's own error event reaches the client through events().
-  [[nodiscard]] virtual bool passes_errors() const { return true; }
+  // Whether events() forwards an instance's own error events to the client.
+  [[nodiscard]] virtual bool forwards_error_events() const { return true; }
 };
 
-std::unique_ptr<AnswerWriter> plain_writer();
-// Adds the chunk that `include_usage` asks for where the box sends none, with estimates: `prompt_tokens`, and
-// four letters to a token of the answer.
-std::unique_ptr<AnswerWriter> usage_writer(core::Tokens prompt_tokens);
-std::unique_ptr<AnswerWriter> response_writer(ResponseEcho echo);
+std::unique_ptr<AnswerFormatter> passthrough_formatter();
+// Adds the chunk that `include_usage` requests if the instance sends none. Its figures are estimates:
+// `prompt_tokens`, and one token for each four bytes of the answer.
+std::unique_ptr<AnswerFormatter> usage_formatter(core::Tokens prompt_tokens);
+std::unique_ptr<AnswerFormatter> response_formatter(ResponseEcho echo);
 
 }  // namespace bankmux::net::openai
--- a/src/net/openai/door_answers.cpp
+++ b/src/net/openai/door_answers.cpp
@@ -9,10 +9,10 @@
 
 namespace {
 
-using admission::Entry;
+using admission::AdmissionStatus;
 using admission::Limited;
 
-constexpr std::size_t kMostKey = 255;
+constexpr std::size_t kMaxKeyBytes = 255;
 
 const char* limit_message(Limited limited) {
   switch (limited) {
@@ -27,43 +27,43 @@
 
 }  // namespace
 
-Told tell(const admission::Pass& pass) {
-  switch (pass.entry) {
-    case Entry::limited:
+ErrorReply error_reply(const admission::AdmissionResult& result) {
+  switch (result.status) {
+    case AdmissionStatus::limited:
       return {429,
-              pass.limited == Limited::tokens ? "tokens" : "requests",
+              result.limited == Limited::tokens ? "tokens" : "requests",
               "rate_limit_exceeded",
-              limit_message(pass.limited),
+              limit_message(result.limited),
               true,
-              pass.wait};
-    case Entry::over_share:
+              result.wait};
+    case AdmissionStatus::over_share:
       return {429,
               "requests",
               "tenant_over_share",
               "This tenant has its share of all open requests; nothing was run.",
               true,
-              pass.wait};
-    case Entry::crowded:
+              result.wait};
+    case AdmissionStatus::too_many_tenants:
       return {503,  "server_error", "overloaded", "Too many keys are at work at once; nothing was run.",
-              true, pass.wait};
-    case Entry::in_progress:
+              true, result.wait};
+    case AdmissionStatus::in_progress:
       return {
           409,
           "invalid_request_error",
           "request_in_progress",
           "The first request with this Idempotency-Key is still running; its answer can be asked for again.",
           true,
-          pass.wait};
-    case Entry::other_body:
+          result.wait};
+    case AdmissionStatus::key_reused:
       return {422, "invalid_request_error", "idempotency_key_reused",
               "This Idempotency-Key was used for another request."};
-    case Entry::unprotected:
+    case AdmissionStatus::ledger_full:
       return {503,
               "server_error",
               "ledger_full",
               "No room to keep this Idempotency-Key, and the request must not run twice; nothing was run.",
               true,
-              pass.wait};
+              result.wait};
     default:
       return {502, "server_error", "outcome_unknown",
               "The first request with this key may have run, and its answer is not known: look before asking "
@@ -83,7 +83,7 @@
 }
 
 void add_limit_headers(Headers& headers, const admission::Limits& limits,
-                       const admission::Standing& standing) {
+                       const admission::LimitStatus& status) {
   const auto add = [&headers](const std::string& what, std::int64_t limit, std::int64_t left,
                               core::Duration reset) {
     if (limit <= 0) return;
@@ -91,8 +91,8 @@
     headers.emplace_back("x-ratelimit-remaining-" + what, std::to_string(left));
     headers.emplace_back("x-ratelimit-reset-" + what, reset_text(reset));
   };
-  add("requests", limits.requests_per_minute, standing.left_requests, standing.reset_requests);
-  add("tokens", limits.tokens_per_minute, standing.left_tokens, standing.reset_tokens);
+  add("requests", limits.requests_per_minute, status.left_requests, status.reset_requests);
+  add("tokens", limits.tokens_per_minute, status.left_tokens, status.reset_tokens);
 }
 
 std::string idempotency_key(const Headers& headers) {
@@ -103,7 +103,7 @@
     found = &value;
   }
   if (found == nullptr) return "";
-  if (found->empty() || found->size() > kMostKey) {
+  if (found->empty() || found->size() > kMaxKeyBytes) {
     throw RequestError{"must be 1 to 255 characters long", "Idempotency-Key"};
   }
   if (!std::ranges::all_of(*found, [](unsigned char c) { return c > 0x20 && c < 0x7f; })) {
--- a/src/net/openai/door_answers.hpp
+++ b/src/net/openai/door_answers.hpp
@@ -1,4 +1,4 @@
-// What the door's word is on the wire: statuses, rate-limit headers and the client's own key. Pure.
+// Admission control over HTTP: error replies, rate-limit headers and the Idempotency-Key header. No I/O.
 #pragma once
 
 #include <string>
@@ -8,18 +8,18 @@
 
 namespace bankmux::net::openai {
 
-// Of a request that the door does not admit and for which no answer is kept.
-Told tell(const admission::Pass& pass);
+// The reply to a request that is not admitted and for which no recorded answer is kept.
+ErrorReply error_reply(const admission::AdmissionResult& result);
 
-// x-ratelimit-limit|remaining|reset-requests|tokens, for those of the two that are limited.
+// Adds x-ratelimit-limit|remaining|reset-requests|tokens for those of the two that are limited.
 void add_limit_headers(Headers& headers, const admission::Limits& limits,
-                       const admission::Standing& standing);
+                       const admission::LimitStatus& status);
 
-// "350ms", "1.5s", "6m0s": as the published API words the time until a limit is whole again.
+// Formats the time until a limit is fully available again as the published API does: "350ms", "1.5s", "6m0s".
 std::string reset_text(core::Duration time);
 
-// The Idempotency-Key header; empty where there is none. Throws RequestError where it is there twice, empty,
-// longer than 255 characters or not printable.
+// The Idempotency-Key header; empty if there is none. Throws RequestError if it appears twice, is empty, is
+// longer than 255 characters or is not printable.
 std::string idempotency_key(const Headers& headers);
 
 }  // namespace bankmux::net::openai
--- a/src/net/openai/endings.hpp
+++ b/src/net/openai/endings.hpp
@@ -1,5 +1,5 @@
-// What a client is told of a request that ends without a whole answer, and whether its library may try again.
-// A pure function of what the core knows; docs/chat-endings.md has the table, the conformance suite holds
+// The error reply to a request that ends without a complete answer, and whether the client library may retry.
+// A pure function of what the core knows; docs/chat-endings.md has the table, and the conformance suite tests
 // each row.
 #pragma once
 
@@ -10,22 +10,22 @@
 
 namespace bankmux::net::openai {
 
-struct Told {
+struct ErrorReply {
   int status = 500;
   const char* type = "server_error";
   const char* code = "";
   const char* message = "";
-  // `x-should-retry`, which the published SDKs obey before they look at the status. True only where nothing
-  // ran, or where running twice does no harm.
+  // The header `x-should-retry`, to which the published SDKs give precedence over the status. True only if
+  // nothing ran or if running twice does no harm.
   bool should_retry = false;
-  core::Duration wait{0};  // where should_retry
+  core::Duration wait{0};  // only with should_retry
 };
 
-Told tell(const core::Ending& ending);
-// Of an answer that this server gives of itself, by its status.
-Told tell(int status);
+ErrorReply error_reply(const core::Ending& ending);
+// The reply to an error that the HTTP server detects itself, by its status.
+ErrorReply error_reply(int status);
 
-// `x-should-retry`, and Retry-After in both forms where trying again may help.
+// Adds `x-should-retry` and, if a retry may help, Retry-After and Retry-After-Ms.
 void add_retry_headers(Headers& headers, bool should_retry, core::Duration wait);
 
 }  // namespace bankmux::net::openai
--- a/src/net/openai/errors.hpp
+++ b/src/net/openai/errors.hpp
@@ -1,4 +1,4 @@
-// What is wrong with a request on the chat front, as a value that its client can be told.
+// Errors in requests to the chat API, and the error object that reports them to the client.
 #pragma once
 
 #include <string>
@@ -6,15 +6,15 @@
 
 namespace bankmux::net::openai {
 
-// Thrown while a request is read; ends at the front, which answers it.
+// Thrown while a request is read; caught by the front, which sends the error reply.
 struct RequestError {
-  std::string message;  // begins with what the field does or is: "must be ..."; the front puts its path ahead
-  std::string param;  // path of the faulty field, as in `messages[3].content[1].type`; empty: the whole body
+  std::string message;  // a predicate such as "must be ..."; the front puts `param` in front
+  std::string param;    // path of the invalid field, as in `messages[3].content[1].type`; empty: the body
   int status = 400;
   std::string code = {};
 };
 
-// The documented error object.
+// The error object of the published API, as JSON text.
 std::string error_object(std::string_view message, std::string_view type, std::string_view param,
                          std::string_view code);
 
--- a/src/net/openai/facts.hpp
+++ b/src/net/openai/facts.hpp
@@ -1,5 +1,5 @@
-// What the decisions need of a checked request: class, session, shared opening, lengths and patience. Pure;
-// docs/appliance.md says how each is derived.
+// The properties of a validated request that routing needs: class, session, shared prefix, lengths and time
+// limit. No I/O; docs/appliance.md says how each is derived.
 #pragma once
 
 #include <nlohmann/json_fwd.hpp>
@@ -9,23 +9,23 @@
 
 namespace bankmux::net::openai {
 
-struct Facts {
-  eiderarch::RequestArrived arrived;  // without its id and deadline
-  core::Duration patience{0};  // until the first token, or until the whole answer where it is not streamed
-  // Tokens that the answer can come to: its limit, or where it has none what boxes are known to write at
-  // most.
-  eiderarch::Tokens most_answer = 0;
+struct RequestFacts {
+  eiderarch::RequestArrived arrived;  // id and deadline are not set
+  core::Duration patience{0};         // until the first token, or until the complete answer if not streamed
+  // Upper bound on the tokens of the answer: the request's limit, or without one the most that published
+  // models generate.
+  eiderarch::Tokens max_answer_tokens = 0;
   bool streamed = false;
   bool include_usage = false;
 };
 
-// The model that a request names; throws RequestError (404) where it is not offered.
+// The model that a request names; throws RequestError (404) if it is not offered.
 const config::Model& model_of(const nlohmann::json& body, const config::Appliance& appliance);
 
-// Of /v1/chat/completions. What the rules cannot say of fields that depend on one another is checked here;
+// For /v1/chat/completions. Also checks fields that depend on one another, which the rules cannot express;
 // throws RequestError.
-Facts chat_facts(const nlohmann::json& body, const config::Appliance& appliance);
-// Of /v1/completions.
-Facts completion_facts(const nlohmann::json& body, const config::Appliance& appliance);
+RequestFacts chat_facts(const nlohmann::json& body, const config::Appliance& appliance);
+// For /v1/completions.
+RequestFacts completion_facts(const nlohmann::json& body, const config::Appliance& appliance);
 
 }  // namespace bankmux::net::openai
--- a/src/net/openai/front.cpp
+++ b/src/net/openai/front.cpp
@@ -27,7 +27,7 @@
 namespace {
 
 constexpr const char* kJson = "application/json";
-constexpr std::size_t kMostId = 128;
+constexpr std::size_t kMaxIdBytes = 128;
 constexpr std::string_view kModels = "/v1/models";
 constexpr std::string_view kChat = "/v1/chat/completions", kCompletions = "/v1/completions",
                            kResponses = "/v1/responses";
@@ -38,14 +38,14 @@
          (path.starts_with(kModels) && path.size() > kModels.size() + 1 && path[kModels.size()] == '/');
 }
 
-// It stands in headers and log lines, so nothing that could end or forge one.
-bool sound_id(std::string_view id) {
-  return !id.empty() && id.size() <= kMostId && std::ranges::all_of(id, [](unsigned char c) {
+// The id appears in headers and log lines, so it must not contain characters that could end or forge one.
+bool valid_request_id(std::string_view id) {
+  return !id.empty() && id.size() <= kMaxIdBytes && std::ranges::all_of(id, [](unsigned char c) {
     return std::isalnum(c) || c == '-' || c == '_' || c == '.' || c == ':';
   });
 }
 
-// The credentials of the Bearer scheme, whose name is in any case (RFC 9110, 11.1); empty where there are
+// The credentials of the Bearer scheme, whose name is case-insensitive (RFC 9110, 11.1); empty if there are
 // none.
 std::string_view bearer(std::string_view authorization) {
   constexpr std::string_view kScheme = "Bearer ";
@@ -63,16 +63,16 @@
 
 }  // namespace
 
-// A request on its way into the core.
-struct OpenAiFront::Call {
-  openai::Facts facts;
+// A validated request, ready for admission and for the core.
+struct OpenAiFront::PreparedRequest {
+  openai::RequestFacts facts;
   std::string model;
-  std::uint64_t digest = 0;  // of path and body, as the client sent them
+  std::uint64_t digest = 0;  // hash of path and body as the client sent them
   recovery::Way continuation = recovery::Way::none;
-  core::Tokens most = 0;  // tokens that it can come to in all
+  core::Tokens max_tokens = 0;  // upper bound on prompt and answer together
   std::string body;
   std::string target;
-  std::unique_ptr<openai::AnswerWriter> writer;
+  std::unique_ptr<openai::AnswerFormatter> formatter;
 };
 
 OpenAiFront::OpenAiFront(core::Conductor& conductor, core::Scheduler& scheduler, admission::Door& door,
@@ -84,33 +84,34 @@
       healthy_(std::move(healthy)) {
   char text[32];
   std::snprintf(text, sizeof text, "req-%llx-", static_cast<unsigned long long>(scheduler.now().count()));
-  start_ = text;
+  id_prefix_ = text;
 }
 
-std::string OpenAiFront::own_id() { return start_ + std::to_string(++count_); }
+std::string OpenAiFront::new_request_id() { return id_prefix_ + std::to_string(++id_count_); }
 
 ServerHooks OpenAiFront::hooks() {
   ServerHooks hooks;
   hooks.error = [this](int status) {
-    const openai::Told told = openai::tell(status);
-    Headers headers{{"x-request-id", own_id()}, {"Content-Type", kJson}};
-    openai::add_retry_headers(headers, told.should_retry, told.wait);
-    return std::pair(std::move(headers), openai::error_object(told.message, told.type, "", told.code));
+    const openai::ErrorReply error = openai::error_reply(status);
+    Headers headers{{"x-request-id", new_request_id()}, {"Content-Type", kJson}};
+    openai::add_retry_headers(headers, error.should_retry, error.wait);
+    return std::pair(std::move(headers), openai::error_object(error.message, error.type, "", error.code));
   };
   hooks.wants = [this](const RequestParser& head) {
     const std::string path = path_of(head.target());
     const bool taken = path == kChat || path == kCompletions || path == kResponses;
     if (head.method() != "POST" || !taken || !known_coding(head.header("Content-Encoding"))) return false;
-    // Who has no key gets no room for a body: its answer is known by the head.
+    // Without a valid key the request is rejected by its headers alone, so no memory is reserved for its
+    // body.
     return door_.identify(bearer(head.header("Authorization"))).has_value();
   };
   return hooks;
 }
 
-// What every answer carries: the request's name, and for pages of other origins that they may read it.
+// The headers of every answer: the request id, and CORS headers if the origin is allowed.
 Headers OpenAiFront::common(const Incoming& incoming) {
   const std::string given = incoming.header("X-Request-Id");
-  Headers headers{{"x-request-id", sound_id(given) ? given : own_id()}};
+  Headers headers{{"x-request-id", valid_request_id(given) ? given : new_request_id()}};
   const std::string origin = incoming.header("Origin");
   if (origin.empty() || appliance_.cors_origins.empty()) return headers;
   const auto& allowed = appliance_.cors_origins;
@@ -131,14 +132,14 @@
   Headers headers = common;
   if (!body.empty()) headers.emplace_back("Content-Type", body.front() == '{' ? kJson : "text/plain");
   headers.insert(headers.end(), more.begin(), more.end());
-  // Nothing was run, and only where there is too much at once does waiting help.
-  const openai::Told told = openai::tell(status);
-  openai::add_retry_headers(headers, told.should_retry || wait, wait.value_or(told.wait));
+  // Nothing was run; waiting helps only if the server is overloaded.
+  const openai::ErrorReply error = openai::error_reply(status);
+  openai::add_retry_headers(headers, error.should_retry || wait, wait.value_or(error.wait));
   incoming.answer(status, headers, body);
 }
 
-void OpenAiFront::turn_away(Incoming& incoming, const Headers& common, const RequestError& problem,
-                            const Headers& more, std::optional<core::Duration> wait) {
+void OpenAiFront::reject(Incoming& incoming, const Headers& common, const RequestError& problem,
+                         const Headers& more, std::optional<core::Duration> wait) {
   const std::string message =
       problem.param.empty() ? problem.message : "'" + problem.param + "' " + problem.message;
   log::write("client", "turned away: " + message.substr(0, 200), [&]() -> json {
@@ -151,11 +152,12 @@
 
 void OpenAiFront::options(Incoming& incoming, const Headers& common, const std::string& allowed) {
   Headers more{{"Allow", allowed}};
-  // A preflight asks ahead of a request from a page; what is not allowed there is not said.
+  // CORS preflight. If the origin is not allowed, common() has added no CORS header and none is added here.
   if (!incoming.header("Access-Control-Request-Method").empty() && common.size() > 1) {
     more.emplace_back("Access-Control-Allow-Methods", allowed);
-    const std::string asked = incoming.header("Access-Control-Request-Headers");
-    more.emplace_back("Access-Control-Allow-Headers", asked.empty() ? "Content-Type, Authorization" : asked);
+    const std::string requested_headers = incoming.header("Access-Control-Request-Headers");
+    more.emplace_back("Access-Control-Allow-Headers",
+                      requested_headers.empty() ? "Content-Type, Authorization" : requested_headers);
     more.emplace_back("Access-Control-Max-Age", "600");
   }
   answer(incoming, common, 204, "", more);
@@ -176,7 +178,7 @@
   const auto it = std::ranges::find(appliance_.models, path.substr(kModels.size() + 1), &config::Model::name);
   if (it != appliance_.models.end() && may_use(*it))
     return answer(incoming, common, 200, model_json(*it).dump());
-  turn_away(incoming, common, {"names no model that is offered here", "model", 404, "model_not_found"});
+  reject(incoming, common, {"names no model that is offered here", "model", 404, "model_not_found"});
 }
 
 void OpenAiFront::handle(std::unique_ptr<Incoming> incoming) {
@@ -190,16 +192,15 @@
   if (path == kResponses) endpoint = Endpoint::responses;
   if (!endpoint && !models_path(path) && !health_path(path)) {
     const bool stored = path.starts_with(kResponses) || path.starts_with(kChat);
-    return turn_away(
-        *incoming, common,
-        {stored ? "Unknown path: " + path + " (nothing is stored here)" : "Unknown path: " + path, "", 404,
-         "unknown_url"});
+    return reject(*incoming, common,
+                  {stored ? "Unknown path: " + path + " (nothing is stored here)" : "Unknown path: " + path,
+                   "", 404, "unknown_url"});
   }
   const std::string allowed = endpoint ? "POST, OPTIONS" : "GET, HEAD, OPTIONS";
   if (method == "OPTIONS") return options(*incoming, common, allowed);
   if (endpoint ? method != "POST" : !reads) {
-    return turn_away(*incoming, common, {"Not allowed here: " + method, "", 405, "method_not_allowed"},
-                     {{"Allow", allowed}});
+    return reject(*incoming, common, {"Not allowed here: " + method, "", 405, "method_not_allowed"},
+                  {{"Allow", allowed}});
   }
   if (!health_path(path)) {
     const std::optional<admission::Caller> caller = identify(*incoming, common);
@@ -215,44 +216,45 @@
   const std::string credentials = incoming.header("Authorization");
   const auto caller = door_.identify(bearer(credentials));
   if (caller) return caller;
-  door_.turned_away_unknown();
+  door_.count_unknown_key();
   const bool none = credentials.empty();
-  turn_away(incoming, common,
-            {none ? "No API key was given: Authorization: Bearer KEY" : "The API key is not known here.", "",
-             401, "invalid_api_key"},
-            {{"WWW-Authenticate", "Bearer"}});
+  reject(incoming, common,
+         {none ? "No API key was given: Authorization: Bearer KEY" : "The API key is not known here.", "",
+          401, "invalid_api_key"},
+         {{"WWW-Authenticate", "Bearer"}});
   return std::nullopt;
 }
 
-std::optional<admission::Ticket> OpenAiFront::admit(Incoming& incoming, Headers& common, const Call& call,
+std::optional<admission::Ticket> OpenAiFront::admit(Incoming& incoming, Headers& common,
+                                                    const PreparedRequest& prepared,
                                                     const admission::Caller& caller) {
-  if (!admission::Door::may_use(caller, call.model)) {
-    turn_away(incoming, common,
-              {"names a model that this key may not use: " + call.model, "model", 403, "model_not_allowed"});
+  if (!admission::Door::may_use(caller, prepared.model)) {
+    reject(incoming, common,
+           {"names a model that this key may not use: " + prepared.model, "model", 403, "model_not_allowed"});
     return std::nullopt;
   }
-  admission::Knock knock;
-  const eiderarch::RequestArrived& facts = call.facts.arrived;
-  knock.once = appliance_.module.classes[facts.request_class].effect == eiderarch::Effect::unsafe;
-  knock.reserve = facts.prompt_tokens + facts.max_output;
-  knock.digest = call.digest;
-  knock.session = facts.session;
+  admission::AdmissionRequest request;
+  const eiderarch::RequestArrived& facts = prepared.facts.arrived;
+  request.at_most_once = appliance_.module.classes[facts.request_class].effect == eiderarch::Effect::unsafe;
+  request.reserved_tokens = facts.prompt_tokens + facts.max_output;
+  request.digest = prepared.digest;
+  request.session = facts.session;
   try {
-    knock.key = openai::idempotency_key(incoming.headers());
+    request.idempotency_key = openai::idempotency_key(incoming.headers());
   } catch (const RequestError& problem) {
-    turn_away(incoming, common, problem);
+    reject(incoming, common, problem);
     return std::nullopt;
   }
   const std::string retries = incoming.header("x-stainless-retry-count");
-  std::from_chars(retries.data(), retries.data() + retries.size(), knock.retry);
-  const admission::Pass pass = door_.knock(scheduler_.now(), caller, knock);
-  if (caller.key != nullptr) openai::add_limit_headers(common, pass.ticket.limits, pass.standing);
-  if (pass.entry == admission::Entry::admit) return pass.ticket;
-  if (pass.entry == admission::Entry::replay && pass.answer != nullptr) {
-    const admission::Recorded& first = *pass.answer;
+  std::from_chars(retries.data(), retries.data() + retries.size(), request.retry_count);
+  const admission::AdmissionResult result = door_.admit(scheduler_.now(), caller, request);
+  if (caller.key != nullptr) openai::add_limit_headers(common, result.ticket.limits, result.limit_status);
+  if (result.status == admission::AdmissionStatus::admitted) return result.ticket;
+  if (result.status == admission::AdmissionStatus::replay && result.answer != nullptr) {
+    const admission::Recorded& first = *result.answer;
     log::write("client", "a repeat got the first one's answer", [&]() -> json {
       return {
-          {"request_id", common.front().second}, {"status", first.status}, {"tenant", pass.ticket.tenant}};
+          {"request_id", common.front().second}, {"status", first.status}, {"tenant", result.ticket.tenant}};
     });
     Headers headers = common;
     headers.emplace_back("Idempotent-Replayed", "true");
@@ -268,18 +270,20 @@
     }
     return std::nullopt;
   }
-  const openai::Told told = openai::tell(pass);
-  log::write("client", std::string("turned away: ") + told.message, [&]() -> json {
-    return {{"request_id", common.front().second}, {"status", told.status}, {"tenant", pass.ticket.tenant}};
+  const openai::ErrorReply error = openai::error_reply(result);
+  log::write("client", std::string("turned away: ") + error.message, [&]() -> json {
+    return {
+        {"request_id", common.front().second}, {"status", error.status}, {"tenant", result.ticket.tenant}};
   });
   std::optional<core::Duration> wait;
-  if (told.should_retry) wait = told.wait;
-  answer(incoming, common, told.status, openai::error_object(told.message, told.type, "", told.code), {},
+  if (error.should_retry) wait = error.wait;
+  answer(incoming, common, error.status, openai::error_object(error.message, error.type, "", error.code), {},
          wait);
   return std::nullopt;
 }
 
-OpenAiFront::Call OpenAiFront::read(Incoming& incoming, Endpoint endpoint, const std::string& id) const {
+OpenAiFront::PreparedRequest OpenAiFront::prepare(Incoming& incoming, Endpoint endpoint,
+                                                  const std::string& id) const {
   const auto codings = std::ranges::count_if(
       incoming.headers(), [](const auto& header) { return same_name(header.first, "Content-Encoding"); });
   if (codings > 1) throw RequestError{"Content-Encoding is there twice", "", 415, "unsupported_encoding"};
@@ -302,84 +306,92 @@
   }
   const json body = openai::read_json(expanded.body);
   std::string path;
-  Call call;
-  call.target = incoming.target();
-  const std::uint64_t path_hash = XXH3_64bits(call.target.data(), call.target.size());
-  call.digest = XXH3_64bits_withSeed(expanded.body.data(), expanded.body.size(), path_hash);
-  const auto note = [this, &call, &body, bytes = expanded.body.size()] {
+  PreparedRequest prepared;
+  prepared.target = incoming.target();
+  const std::uint64_t path_hash = XXH3_64bits(prepared.target.data(), prepared.target.size());
+  prepared.digest = XXH3_64bits_withSeed(expanded.body.data(), expanded.body.size(), path_hash);
+  const auto set_model = [this, &prepared, &body, bytes = expanded.body.size()] {
     const config::Model& model = openai::model_of(body, appliance_);
-    call.model = model.name;
-    call.continuation = model.continuation;
-    // A token has at least one byte; pictures and sound may come by name alone, and count as estimated.
-    call.most = std::max(core::Tokens(bytes), call.facts.arrived.prompt_tokens) + call.facts.most_answer;
+    prepared.model = model.name;
+    prepared.continuation = model.continuation;
+    // A token has at least one byte. Images and audio may be passed by reference, so the estimate may be
+    // larger.
+    prepared.max_tokens = std::max(core::Tokens(bytes), prepared.facts.arrived.prompt_tokens) +
+                          prepared.facts.max_answer_tokens;
   };
   if (endpoint == Endpoint::responses) {
     openai::response_rules().check(body, path);
     const json chat = openai::to_chat_request(body);
-    call.facts = openai::chat_facts(chat, appliance_);
-    note();
+    prepared.facts = openai::chat_facts(chat, appliance_);
+    set_model();
     if (openai::model_of(body, appliance_).native_responses) {
-      call.body = std::move(expanded.body);
-      call.writer = openai::plain_writer();
-      call.continuation = recovery::Way::none;  // its typed events are not of the form that is kept
-      return call;
+      prepared.body = std::move(expanded.body);
+      prepared.formatter = openai::passthrough_formatter();
+      prepared.continuation = recovery::Way::none;  // recovery does not support its event format
+      return prepared;
     }
-    call.target = kChat;
-    call.body = chat.dump();
-    call.writer = openai::response_writer(openai::echo_of(body, id, scheduler_.now().count() / 1'000'000));
-    return call;
+    prepared.target = kChat;
+    prepared.body = chat.dump();
+    prepared.formatter =
+        openai::response_formatter(openai::echo_of(body, id, scheduler_.now().count() / 1'000'000));
+    return prepared;
   }
   const bool is_chat = endpoint == Endpoint::chat;
   (is_chat ? openai::chat_rules() : openai::completion_rules()).check(body, path);
-  call.facts = is_chat ? openai::chat_facts(body, appliance_) : openai::completion_facts(body, appliance_);
-  note();
-  call.body = std::move(expanded.body);
-  call.writer = call.facts.include_usage ? openai::usage_writer(call.facts.arrived.prompt_tokens)
-                                         : openai::plain_writer();
-  return call;
+  prepared.facts =
+      is_chat ? openai::chat_facts(body, appliance_) : openai::completion_facts(body, appliance_);
+  set_model();
+  prepared.body = std::move(expanded.body);
+  prepared.formatter = prepared.facts.include_usage
+                           ? openai::usage_formatter(prepared.facts.arrived.prompt_tokens)
+                           : openai::passthrough_formatter();
+  return prepared;
 }
 
 void OpenAiFront::post(std::unique_ptr<Incoming> incoming, Endpoint endpoint, Headers common,
                        const admission::Caller& caller) {
   auto payload = std::make_shared<core::Payload>();
   payload->id = common.front().second;
-  Call call;
+  PreparedRequest prepared;
   try {
-    call = read(*incoming, endpoint, payload->id);
+    prepared = prepare(*incoming, endpoint, payload->id);
   } catch (const RequestError& problem) {
-    return turn_away(*incoming, common, problem);
+    return reject(*incoming, common, problem);
   }
-  std::optional<admission::Ticket> ticket = admit(*incoming, common, call, caller);
+  std::optional<admission::Ticket> ticket = admit(*incoming, common, prepared, caller);
   if (!ticket) return;
   payload->method = "POST";
-  payload->target = call.target;
+  payload->target = prepared.target;
   payload->headers = incoming->headers();
   payload->tenant = ticket->tenant;
-  // A key opens this door; the boxes behind it never see it.
+  // The API key is for this server only; instances never receive it.
   if (caller.key != nullptr) {
     std::erase_if(payload->headers,
                   [](const auto& header) { return same_name(header.first, "Authorization"); });
   }
-  payload->body = std::move(call.body);
-  payload->streamed = call.facts.streamed;
-  core::Ask ask{call.facts.arrived, payload, payload->id};
+  payload->body = std::move(prepared.body);
+  payload->streamed = prepared.facts.streamed;
+  core::Ask ask{prepared.facts.arrived, payload, payload->id};
   ask.facts.tenant = appliance_.tenant_number(ticket->tenant);
-  ask.facts.deadline = scheduler_.now() + call.facts.patience;
+  ask.facts.deadline = scheduler_.now() + prepared.facts.patience;
   Incoming& client = *incoming;
-  std::optional<recovery::Recovery> recovery;
-  const core::PayloadPtr asked = ask.payload;
-  // Only streams, and only where the events are those of the chat dialect's own forms.
-  if (call.facts.streamed && call.continuation != recovery::Way::none) {
-    recovery.emplace(call.continuation, asked->target.starts_with(kCompletions) ? recovery::Form::completion
-                                                                                : recovery::Form::chat);
+  std::optional<recovery::StreamRecovery> recovery;
+  const core::PayloadPtr original_request = ask.payload;
+  // Only streams in the formats of /v1/chat/completions and /v1/completions can be recovered.
+  if (prepared.facts.streamed && prepared.continuation != recovery::Way::none) {
+    recovery.emplace(prepared.continuation, original_request->target.starts_with(kCompletions)
+                                                ? recovery::AnswerFormat::completion
+                                                : recovery::AnswerFormat::chat);
   }
-  auto account = std::make_unique<openai::Admitted>(door_, scheduler_, std::move(*ticket), call.most,
-                                                    call.facts.streamed);
-  openai::ReplyForm form{std::move(common),  call.facts.streamed,         std::move(call.writer),
-                         std::move(account), std::move(recovery),         asked,
-                         appliance_.seam,    appliance_.stream_keep_alive};
+  auto account = std::make_unique<openai::RequestAccount>(door_, scheduler_, std::move(*ticket),
+                                                          prepared.max_tokens, prepared.facts.streamed);
+  openai::ReplyOptions reply_options{
+      std::move(common),  prepared.facts.streamed,     std::move(prepared.formatter),
+      std::move(account), std::move(recovery),         original_request,
+      appliance_.seam,    appliance_.stream_keep_alive};
   const core::RequestId id = conductor_.take(
-      std::move(ask), std::make_unique<openai::Reply>(std::move(incoming), scheduler_, std::move(form)));
+      std::move(ask),
+      std::make_unique<openai::Reply>(std::move(incoming), scheduler_, std::move(reply_options)));
   if (id != 0) client.on_gone([this, id] { conductor_.client_gone(id); });
 }
 
--- a/src/net/openai/front.hpp
+++ b/src/net/openai/front.hpp
@@ -1,4 +1,5 @@
-// The OpenAI-style chat API between clients and this conductor.
+// The OpenAI-compatible chat API: validates requests, applies admission control, and hands them to the
+// conductor.
 #pragma once
 
 #include <memory>
@@ -15,34 +16,35 @@
 
 class OpenAiFront {
  public:
-  // `healthy` says whether a balancer may send here. `appliance` may change while this lives.
+  // `healthy`: whether a load balancer in front may send requests here. The contents of `appliance` may
+  // change during the lifetime of this object.
   OpenAiFront(core::Conductor& conductor, core::Scheduler& scheduler, admission::Door& door,
               const config::Appliance& appliance, std::function<bool()> healthy);
 
   void handle(std::unique_ptr<Incoming> incoming);
-  // For the server that this front stands behind.
+  // For the HTTP server that calls handle().
   [[nodiscard]] ServerHooks hooks();
 
  private:
   enum class Endpoint { chat, completions, responses };
-  struct Call;
+  struct PreparedRequest;
 
   void post(std::unique_ptr<Incoming> incoming, Endpoint endpoint, Headers common,
             const admission::Caller& caller);
-  // The body expanded and checked, as it goes to a box; throws RequestError.
-  [[nodiscard]] Call read(Incoming& incoming, Endpoint endpoint, const std::string& id) const;
-  // `common`: the headers of every answer to this request. `wait`: after which trying again may help, where
-  // that does not follow from the status.
+  // Decompresses, validates and translates the body for an instance; throws RequestError.
+  [[nodiscard]] PreparedRequest prepare(Incoming& incoming, Endpoint endpoint, const std::string& id) const;
+  // `common`: the headers of every answer to this request. `wait`: time after which a retry may help, if that
+  // does not follow from the status.
   static void answer(Incoming& incoming, const Headers& common, int status, std::string_view body,
                      const Headers& more = {}, std::optional<core::Duration> wait = {});
-  static void turn_away(Incoming& incoming, const Headers& common, const openai::RequestError& problem,
-                        const Headers& more = {}, std::optional<core::Duration> wait = {});
+  static void reject(Incoming& incoming, const Headers& common, const openai::RequestError& problem,
+                     const Headers& more = {}, std::optional<core::Duration> wait = {});
   [[nodiscard]] Headers common(const Incoming& incoming);
-  [[nodiscard]] std::string own_id();
-  // Who it is; nothing where it was turned away.
+  [[nodiscard]] std::string new_request_id();
+  // Authenticates the client; nullopt if the request was rejected and answered.
   std::optional<admission::Caller> identify(Incoming& incoming, const Headers& common);
-  // What the door says of it; nothing where it has been answered.
-  std::optional<admission::Ticket> admit(Incoming& incoming, Headers& common, const Call& call,
+  // Applies admission control; nullopt if the request has been answered.
+  std::optional<admission::Ticket> admit(Incoming& incoming, Headers& common, const PreparedRequest& prepared,
                                          const admission::Caller& caller);
   void models(Incoming& incoming, const Headers& common, const std::string& path,
               const admission::Caller& caller) const;
@@ -53,8 +55,8 @@
   admission::Door& door_;
   const config::Appliance& appliance_;
   std::function<bool()> healthy_;
-  std::string start_;  // with the count below, names requests
-  std::uint64_t count_ = 0;
+  std::string id_prefix_;  // request ids are this prefix and a counter
+  std::uint64_t id_count_ = 0;
 };
 
 }  // namespace bankmux::net
--- a/src/net/openai/json_reader.cpp
+++ b/src/net/openai/json_reader.cpp
@@ -13,47 +13,49 @@
 
 namespace {
 
-constexpr std::size_t kMostWords = 160;  // of the library's complaint, which may quote a text of megabytes
+// Limit for the JSON library's message, which may quote megabytes of input.
+constexpr std::size_t kMaxMessageBytes = 160;
 
-[[noreturn]] void not_json(const std::string& why) {
+[[noreturn]] void throw_invalid_json(const std::string& why) {
   throw RequestError{"the body is not sound JSON: " + why, "", 400, "invalid_json"};
 }
 
-// "[json.exception.parse_error.101] parse error at ...": without what means nothing to a client.
-std::string complaint(const json::exception& problem) {
+// The library's message without its prefix, as in "[json.exception.parse_error.101] parse error at ...",
+// which means nothing to a client.
+std::string parser_message(const json::exception& problem) {
   std::string text = problem.what();
   if (const std::size_t end = text.find("] "); end != std::string::npos) text.erase(0, end + 2);
-  if (text.size() > kMostWords) text = text.substr(0, kMostWords) + "...";
+  if (text.size() > kMaxMessageBytes) text = text.substr(0, kMaxMessageBytes) + "...";
   return text;
 }
 
-// The keys of one object. Most have a few, and a list of these is quicker than a tree.
-class Keys {
+// The keys of one object. Most objects have few keys, for which a list is faster than a tree.
+class ObjectKeys {
  public:
-  // False where it is there already.
+  // False if the key is present already.
   bool add(const std::string& key) {
-    if (!many_.empty()) return many_.insert(key).second;
-    if (std::ranges::count(few_, key) > 0) return false;
-    few_.push_back(key);
-    if (few_.size() > kFew) many_.insert(few_.begin(), few_.end());
+    if (!set_.empty()) return set_.insert(key).second;
+    if (std::ranges::count(list_, key) > 0) return false;
+    list_.push_back(key);
+    if (list_.size() > kMaxListKeys) set_.insert(list_.begin(), list_.end());
     return true;
   }
 
  private:
-  static constexpr std::size_t kFew = 16;
-  std::vector<std::string> few_;
-  std::set<std::string> many_;
+  static constexpr std::size_t kMaxListKeys = 16;
+  std::vector<std::string> list_;
+  std::set<std::string> set_;
 };
 
-// Looks at each event of the parse before anything is kept of it.
-class Guard {
+// Checks the limits and duplicate keys at each parse event, before the value is stored.
+class LimitChecker {
  public:
-  explicit Guard(const JsonLimits& limits) : limits_(limits) {}
+  explicit LimitChecker(const JsonLimits& limits) : limits_(limits) {}
   bool operator()(int depth, json::parse_event_t event, const json& parsed) {
     using Event = json::parse_event_t;
     if (event == Event::key) {
       const auto& key = parsed.get_ref<const std::string&>();
-      if (!open_.back().add(key)) not_json("the key '" + key.substr(0, 64) + "' is there twice");
+      if (!open_.back().add(key)) throw_invalid_json("the key '" + key.substr(0, 64) + "' is there twice");
       return true;
     }
     if (event == Event::object_end) {
@@ -62,9 +64,9 @@
     }
     if (event == Event::array_end) return true;
     if (++values_ > limits_.values)
-      not_json("it holds more than " + std::to_string(limits_.values) + " values");
+      throw_invalid_json("it holds more than " + std::to_string(limits_.values) + " values");
     if (depth >= limits_.depth && event != Event::value) {
-      not_json("it nests deeper than " + std::to_string(limits_.depth) + " levels");
+      throw_invalid_json("it nests deeper than " + std::to_string(limits_.depth) + " levels");
     }
     if (event == Event::object_start) open_.emplace_back();
     return true;
@@ -73,7 +75,7 @@
  private:
   JsonLimits limits_;
   std::size_t values_ = 0;
-  std::vector<Keys> open_;  // of the objects that are open
+  std::vector<ObjectKeys> open_;  // of the enclosing objects
 };
 
 }  // namespace
@@ -81,10 +83,10 @@
 json read_json(std::string_view text, const JsonLimits& limits) {
   json body;
   try {
-    Guard guard(limits);
-    body = json::parse(text, std::ref(guard));
+    LimitChecker checker(limits);
+    body = json::parse(text, std::ref(checker));
   } catch (const json::exception& problem) {
-    not_json(complaint(problem));
+    throw_invalid_json(parser_message(problem));
   }
   if (!body.is_object()) throw RequestError{"the body is not a JSON object", "", 400, "invalid_json"};
   return body;
--- a/src/net/openai/json_reader.hpp
+++ b/src/net/openai/json_reader.hpp
@@ -1,6 +1,6 @@
-// Reads a request's body as JSON, strictly and within bounds. What two readers may take for different things
-// is an error: duplicate keys, bytes that are not UTF-8, lone surrogates, numbers beyond a double, anything
-// after the end. Pure.
+// Parses a request's body as JSON, strictly and within limits. Input that two parsers could interpret
+// differently is an error: duplicate keys, invalid UTF-8, lone surrogates, numbers outside the range of a
+// double, and data after the end. No I/O.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -9,11 +9,11 @@
 namespace bankmux::net::openai {
 
 struct JsonLimits {
-  int depth = 64;                // schemas of tools nest deepest, about 20
-  std::size_t values = 250'000;  // a tree of so many takes some 30 MB for the moment of its reading
+  int depth = 64;                // the schemas of tools nest deepest, about 20 levels
+  std::size_t values = 250'000;  // a tree of this size takes about 30 MB while it is read
 };
 
-// An object; throws RequestError that says where the text goes wrong, or which key is there twice.
+// Parses a JSON object. Throws RequestError that names the position of the error or the duplicate key.
 nlohmann::json read_json(std::string_view text, const JsonLimits& limits = {});
 
 }  // namespace bankmux::net::openai
--- a/src/net/openai/reply.cpp
+++ b/src/net/openai/reply.cpp
@@ -16,146 +16,148 @@
 
 }  // namespace
 
-Reply::Reply(std::unique_ptr<Incoming> incoming, core::Scheduler& scheduler, ReplyForm form)
-    : HttpReply(std::move(incoming)), scheduler_(scheduler), form_(std::move(form)) {
-  if (form_.streamed && form_.keep_alive.count() > 0) {
-    next_comment_ = scheduler_.at(scheduler_.now() + form_.keep_alive, [this] { keep_alive(); });
+Reply::Reply(std::unique_ptr<Incoming> incoming, core::Scheduler& scheduler, ReplyOptions options)
+    : HttpReply(std::move(incoming)), scheduler_(scheduler), options_(std::move(options)) {
+  if (options_.streamed && options_.keep_alive.count() > 0) {
+    keep_alive_timer_ = scheduler_.at(scheduler_.now() + options_.keep_alive, [this] { keep_alive(); });
   }
 }
 
 Headers Reply::headers(const char* content_type, bool should_retry, core::Duration wait) const {
-  Headers all = form_.headers;
+  Headers all = options_.headers;
   all.emplace_back("Content-Type", content_type);
   add_retry_headers(all, should_retry, wait);
   return all;
 }
 
-// Proxies and clients that end silent connections are told that somebody is there. The price: an answer that
-// turns out to be a refusal has no status of its own any more, so this is off by default.
+// Sends a comment so that proxies and clients do not close an idle connection. This sends the status 200
+// first, so that a later error can no longer have a status of its own; for that reason it is off by default.
 void Reply::keep_alive() {
-  begin_head();
+  send_head();
   incoming_->chunk(": waiting\n\n");
-  next_comment_ = scheduler_.at(scheduler_.now() + form_.keep_alive, [this] { keep_alive(); });
+  keep_alive_timer_ = scheduler_.at(scheduler_.now() + options_.keep_alive, [this] { keep_alive(); });
 }
 
-void Reply::begin_head() {
-  if (std::exchange(head_out_, true)) return;
-  // Where the ledger protects it, asking again after a broken connection never runs it twice.
-  Headers all = headers(kStream, form_.account->protects());
+void Reply::send_head() {
+  if (std::exchange(head_sent_, true)) return;
+  // If the ledger protects the request, a retry after a broken connection never runs it twice.
+  Headers all = headers(kStream, options_.account->protects());
   all.emplace_back("Cache-Control", "no-cache");
   incoming_->begin(200, all);
 }
 
-void Reply::give(const Told& told) {
-  next_comment_.reset();
-  if (head_out_) {
-    incoming_->chunk(form_.writer->error(told.code, told.message));
+void Reply::send_error(const ErrorReply& error) {
+  keep_alive_timer_.reset();
+  if (head_sent_) {
+    incoming_->chunk(options_.formatter->error(error.code, error.message));
     return incoming_->abort();
   }
-  incoming_->answer(told.status, headers(kJson, told.should_retry, told.wait),
-                    error_object(told.message, told.type, "", told.code));
+  incoming_->answer(error.status, headers(kJson, error.should_retry, error.wait),
+                    error_object(error.message, error.type, "", error.code));
 }
 
 void Reply::relay(const core::Answer& answer) {
-  next_comment_.reset();
-  if (head_out_) {
-    incoming_->chunk(form_.writer->error("upstream_rejected", "The box finds fault with the request."));
+  keep_alive_timer_.reset();
+  if (head_sent_) {
+    incoming_->chunk(options_.formatter->error("upstream_rejected", "The box finds fault with the request."));
     return incoming_->abort();
   }
-  // The request itself is at fault: repeated, it will be again.
+  // The request itself is invalid, so a retry would fail again.
   const std::string type = answer.content_type.empty() ? kJson : answer.content_type;
-  form_.account->rejected(answer.status, type, answer.body);
+  options_.account->rejected(answer.status, type, answer.body);
   incoming_->answer(answer.status, headers(type.c_str(), false), answer.body);
 }
 
 void Reply::begin() {
-  next_comment_.reset();
-  if (!form_.streamed) return;
-  begin_head();
-  out(form_.writer->begin());
+  keep_alive_timer_.reset();
+  if (!options_.streamed) return;
+  send_head();
+  send_bytes(options_.formatter->begin());
 }
 
-void Reply::out(std::string_view bytes) {
-  form_.account->given(bytes);
+void Reply::send_bytes(std::string_view bytes) {
+  options_.account->record_sent(bytes);
   incoming_->chunk(bytes);
 }
 
 void Reply::data(std::string_view bytes) {
-  if (!form_.streamed) {
-    whole_ += bytes;
+  if (!options_.streamed) {
+    body_ += bytes;
     return;
   }
-  form_.account->box_said(bytes);
-  if (form_.recovery) {
-    events(form_.recovery->pass(bytes));
+  options_.account->record_events(bytes);
+  if (options_.recovery) {
+    send_events(options_.recovery->forward(bytes));
   } else {
-    events(bytes);
+    send_events(bytes);
   }
 }
 
-void Reply::events(std::string_view bytes) {
+void Reply::send_events(std::string_view bytes) {
   if (bytes.empty()) return;
-  if (form_.writer->transparent()) {
-    out(bytes);
+  if (options_.formatter->is_passthrough()) {
+    send_bytes(bytes);
   } else {
-    out(form_.writer->events(bytes));
+    send_bytes(options_.formatter->events(bytes));
   }
 }
 
 core::Onward Reply::go_on() {
-  if (!form_.recovery) return {};
-  const recovery::Next next = form_.recovery->lost(form_.asked->body);
-  const auto told = [&](const char* what) {
+  if (!options_.recovery) return {};
+  const recovery::Continuation next = options_.recovery->instance_lost(options_.original_request->body);
+  const auto log_decision = [&](const char* what) {
     log::write("recovery", what, [&]() -> nlohmann::json {
-      return {{"request_id", form_.asked->id},
+      return {{"request_id", options_.original_request->id},
               {"reason", next.reason},
-              {"tokens", next.written},
-              {"continued", form_.recovery->continued()}};
+              {"tokens", next.written_tokens},
+              {"continued", options_.recovery->continued()}};
     });
   };
-  switch (next.what) {
-    case recovery::Next::What::end:
-      told("stays broken");
+  switch (next.action) {
+    case recovery::Continuation::Action::give_up:
+      log_decision("stays broken");
       return {};
-    case recovery::Next::What::finish:
-      told("its end alone was missing");
-      events(next.bytes);
-      return {core::Onward::What::finished, nullptr, next.written, 0, {}};
-    case recovery::Next::What::go_on:
+    case recovery::Continuation::Action::finish:
+      log_decision("its end alone was missing");
+      send_events(next.bytes);
+      return {core::Onward::What::finished, nullptr, next.written_tokens, 0, {}};
+    case recovery::Continuation::Action::resume:
       break;
   }
-  told("goes on at another box");
-  auto payload = std::make_shared<core::Payload>(*form_.asked);
+  log_decision("goes on at another box");
+  auto payload = std::make_shared<core::Payload>(*options_.original_request);
   payload->body = next.body;
-  return {core::Onward::What::go_on, std::move(payload), next.written, next.left, form_.seam};
+  return {core::Onward::What::go_on, std::move(payload), next.written_tokens, next.remaining_tokens,
+          options_.max_gap};
 }
 
 void Reply::end() {
-  if (form_.streamed) {
-    out(form_.writer->end());
-    form_.account->served(200, kStream);
+  if (options_.streamed) {
+    send_bytes(options_.formatter->end());
+    options_.account->completed(200, kStream);
     return incoming_->end();
   }
-  form_.account->box_answered(whole_);
-  const std::optional<std::string> whole = form_.writer->whole(std::move(whole_));
+  options_.account->record_answer(body_);
+  const std::optional<std::string> whole = options_.formatter->whole(std::move(body_));
   if (!whole) {
-    // It ran, and its answer has no place in this dialect.
-    return give(
+    // The request ran, but its answer cannot be translated.
+    return send_error(
         {502, "server_error", "upstream_failed", "The box's answer could not be understood.", false, {}});
   }
-  form_.account->served(200, kJson, *whole);
-  incoming_->answer(200, headers(kJson, form_.account->protects()), *whole);
+  options_.account->completed(200, kJson, *whole);
+  incoming_->answer(200, headers(kJson, options_.account->protects()), *whole);
 }
 
-// The client learns of it twice: by an error event, unless the box has sent one, and by the missing end.
+// An incomplete stream is reported by an error event, unless the instance has already sent one, and by the
+// missing end of the response.
 void Reply::abort(const core::Ending& ending) {
-  const Told told = tell(ending);
-  if (!form_.streamed) return give(told);
-  // The box's own error event was held back while the answer could still go on.
-  if (ending.told && form_.recovery && form_.writer->passes_errors())
-    incoming_->chunk(form_.recovery->error_event());
-  if (!ending.told || !form_.writer->passes_errors()) {
-    incoming_->chunk(form_.writer->error(told.code, told.message));
+  const ErrorReply error = error_reply(ending);
+  if (!options_.streamed) return send_error(error);
+  // The instance's own error event was withheld while the stream could still be recovered.
+  if (ending.told && options_.recovery && options_.formatter->forwards_error_events())
+    incoming_->chunk(options_.recovery->withheld_error());
+  if (!ending.told || !options_.formatter->forwards_error_events()) {
+    incoming_->chunk(options_.formatter->error(error.code, error.message));
   }
   incoming_->abort();
 }
--- a/src/net/openai/reply.hpp
+++ b/src/net/openai/reply.hpp
@@ -1,4 +1,4 @@
-// Words the core's final answers in the chat dialect: a stream of events, or one whole object.
+// Sends the core's answers to a client of the chat API, as a stream of events or as one JSON object.
 #pragma once
 
 #include <memory>
@@ -11,50 +11,51 @@
 
 namespace bankmux::net::openai {
 
-struct ReplyForm {
+// What a reply needs to know of its request.
+struct ReplyOptions {
   Headers headers;  // on every answer to this request
   bool streamed = false;
-  std::unique_ptr<AnswerWriter> writer;
-  std::unique_ptr<Admitted> account;
-  std::optional<recovery::Recovery> recovery;  // where its boxes know how to go on with a begun answer
-  core::PayloadPtr asked;                      // what they were asked, with `recovery`
-  core::Duration seam{0};                      // how long its client may wait for the next box
-  core::Duration keep_alive{0};                // between comments ahead of a stream's first event; 0: none
+  std::unique_ptr<AnswerFormatter> formatter;
+  std::unique_ptr<RequestAccount> account;
+  std::optional<recovery::StreamRecovery> recovery;  // if its instances can continue a partial answer
+  core::PayloadPtr original_request;                 // only with `recovery`
+  core::Duration max_gap{0};                         // how long the client may wait for the next instance
+  core::Duration keep_alive{0};  // between comments before the first event; 0: no comments
 };
 
 class Reply : public HttpReply {
  public:
-  Reply(std::unique_ptr<Incoming> incoming, core::Scheduler& scheduler, ReplyForm form);
+  Reply(std::unique_ptr<Incoming> incoming, core::Scheduler& scheduler, ReplyOptions options);
 
-  void sending() override { form_.account->sending(); }
-  void never_ran() override { form_.account->never_ran(); }
-  void refuse(const core::Ending& ending) override { give(tell(ending)); }
-  void fail(const core::Ending& ending) override { give(tell(ending)); }
+  void sending() override { options_.account->sending(); }
+  void never_ran() override { options_.account->never_ran(); }
+  void refuse(const core::Ending& ending) override { send_error(error_reply(ending)); }
+  void fail(const core::Ending& ending) override { send_error(error_reply(ending)); }
   void relay(const core::Answer& answer) override;
   void begin() override;
   void data(std::string_view bytes) override;
   void end() override;
   void abort(const core::Ending& ending) override;
   core::Onward go_on() override;
-  [[nodiscard]] bool may_go_on() const override { return form_.recovery && !form_.recovery->failed(); }
-  [[nodiscard]] bool garbled() const override { return form_.recovery && form_.recovery->failed(); }
+  [[nodiscard]] bool may_go_on() const override { return options_.recovery && !options_.recovery->failed(); }
+  [[nodiscard]] bool garbled() const override { return options_.recovery && options_.recovery->failed(); }
 
  private:
-  void give(const Told& told);
-  // The answer's head, once; from then on all that is told goes as events.
-  void begin_head();
+  void send_error(const ErrorReply& error);
+  // Sends the status and headers, once; from then on errors are sent as events.
+  void send_head();
   void keep_alive();
-  // Whole events, as they are to go on to the client.
-  void events(std::string_view bytes);
-  // A part of the answer itself.
-  void out(std::string_view bytes);
+  // Formats complete events and sends them to the client.
+  void send_events(std::string_view bytes);
+  // Sends a part of the answer, and records it for the ledger.
+  void send_bytes(std::string_view bytes);
   [[nodiscard]] Headers headers(const char* content_type, bool should_retry, core::Duration wait = {}) const;
 
   core::Scheduler& scheduler_;
-  ReplyForm form_;
-  bool head_out_ = false;
-  std::string whole_;
-  std::unique_ptr<core::Timer> next_comment_;
+  ReplyOptions options_;
+  bool head_sent_ = false;
+  std::string body_;
+  std::unique_ptr<core::Timer> keep_alive_timer_;
 };
 
 }  // namespace bankmux::net::openai
--- a/src/net/openai/request_rules.cpp
+++ b/src/net/openai/request_rules.cpp
@@ -5,14 +5,14 @@
 namespace {
 
 constexpr bool kRequired = true;
-constexpr double kMostTokens = 1e6;
-constexpr double kMostSeed = 9.3e18;  // 64 bits, either sign
-constexpr std::size_t kMostId = 256;
+constexpr double kMaxTokens = 1e6;
+constexpr double kMaxSeed = 9.3e18;  // 64 bits, signed
+constexpr std::size_t kMaxIdBytes = 256;
 
 Rule text() { return Rule::text(); }
 Rule name() { return Rule::text(1, 64); }
-Rule id() { return Rule::text(1, kMostId); }
-Rule tokens() { return Rule::whole(1, kMostTokens); }
+Rule id() { return Rule::text(1, kMaxIdBytes); }
+Rule tokens() { return Rule::integer(1, kMaxTokens); }
 Rule free_object() { return Rule::object({}); }
 
 Members text_part() { return {{"text", text(), kRequired}}; }
@@ -28,12 +28,12 @@
                   {"image_url",
                    {{"image_url",
                      Rule::object({{"url", Rule::text(1), kRequired},
-                                   {"detail", Rule::word({"auto", "low", "high"})}}),
+                                   {"detail", Rule::one_of({"auto", "low", "high"})}}),
                      kRequired}}},
                   {"input_audio",
                    {{"input_audio",
                      Rule::object({{"data", Rule::text(1), kRequired},
-                                   {"format", Rule::word({"wav", "mp3"}), kRequired}}),
+                                   {"format", Rule::one_of({"wav", "mp3"}), kRequired}}),
                      kRequired}}},
                   {"file",
                    {{"file", Rule::object({{"file_data", text()}, {"file_id", id()}, {"filename", text()}}),
@@ -64,19 +64,19 @@
 }
 
 Rule message() {
-  const Member whose{"name", name()};
+  const Member sender_name{"name", name()};
   return Rule::variant(
       "role",
-      {{"system", {{"content", texts(), kRequired}, whose}},
-       {"developer", {{"content", texts(), kRequired}, whose}},
-       {"user", {{"content", user_content(), kRequired}, whose}},
+      {{"system", {{"content", texts(), kRequired}, sender_name}},
+       {"developer", {{"content", texts(), kRequired}, sender_name}},
+       {"user", {{"content", user_content(), kRequired}, sender_name}},
        {"assistant",
         {{"content", assistant_content()},
          {"refusal", text()},
          {"audio", Rule::object({{"id", id(), kRequired}})},
          {"tool_calls", tool_calls()},
          {"function_call", Rule::object({{"name", name(), kRequired}, {"arguments", text(), kRequired}})},
-         whose}},
+         sender_name}},
        {"tool", {{"content", texts(), kRequired}, {"tool_call_id", id(), kRequired}}},
        {"function", {{"content", text()}, {"name", name(), kRequired}}}});
 }
@@ -85,7 +85,7 @@
   return {{"name", name(), kRequired},
           {"description", text()},
           {"parameters", free_object()},
-          {"strict", Rule::flag()}};
+          {"strict", Rule::boolean()}};
 }
 
 Rule tools() {
@@ -102,7 +102,7 @@
 
 Rule tool_choice() {
   const Rule named = Rule::object({{"name", name(), kRequired}});
-  return Rule::word({"none", "auto", "required"}) |
+  return Rule::one_of({"none", "auto", "required"}) |
          Rule::variant("type", {{"function", {{"function", named, kRequired}}},
                                 {"custom", {{"custom", named, kRequired}}},
                                 {"allowed_tools", {{"allowed_tools", free_object(), kRequired}}}});
@@ -112,7 +112,7 @@
   return {{"name", name(), kRequired},
           {"description", text()},
           {"schema", free_object()},
-          {"strict", Rule::flag()}};
+          {"strict", Rule::boolean()}};
 }
 
 Rule response_format() {
@@ -124,16 +124,16 @@
 Rule stop() { return text() | Rule::list(Rule::text(1), 0, 4); }
 Rule metadata() { return Rule::map(Rule::text(0, 512), 16, 64); }
 Rule logit_bias() { return Rule::map(Rule::number(-100, 100), 1024, 16); }
-Rule effort() { return Rule::word({"none", "minimal", "low", "medium", "high", "xhigh"}); }
-Rule verbosity() { return Rule::word({"low", "medium", "high"}); }
-Rule service_tier() { return Rule::word({"auto", "default", "flex", "scale", "priority"}); }
+Rule effort() { return Rule::one_of({"none", "minimal", "low", "medium", "high", "xhigh"}); }
+Rule verbosity() { return Rule::one_of({"low", "medium", "high"}); }
+Rule service_tier() { return Rule::one_of({"auto", "default", "flex", "scale", "priority"}); }
 
-// What all three share.
+// The fields that all three endpoints share.
 Members common() {
   return {{"model", Rule::text(1, 256), kRequired},
-          {"stream", Rule::flag()},
+          {"stream", Rule::boolean()},
           {"stream_options",
-           Rule::object({{"include_usage", Rule::flag()}, {"include_obfuscation", Rule::flag()}})},
+           Rule::object({{"include_usage", Rule::boolean()}, {"include_obfuscation", Rule::boolean()}})},
           {"temperature", Rule::number(0, 2)},
           {"top_p", Rule::number(0, 1)},
           {"user", text()},
@@ -141,16 +141,16 @@
           {"prompt_cache_key", Rule::text(0, 1024)},
           {"safety_identifier", Rule::text(0, 1024)},
           {"service_tier", service_tier()},
-          {"store", Rule::flag()}};
+          {"store", Rule::boolean()}};
 }
 
-// And those that make tokens one by one.
+// The sampling fields of chat completions and completions.
 Members sampling() {
   return {{"frequency_penalty", Rule::number(-2, 2)},
           {"presence_penalty", Rule::number(-2, 2)},
           {"logit_bias", logit_bias()},
-          {"n", Rule::whole(1, 128)},
-          {"seed", Rule::whole(-kMostSeed, kMostSeed)},
+          {"n", Rule::integer(1, 128)},
+          {"seed", Rule::integer(-kMaxSeed, kMaxSeed)},
           {"stop", stop()}};
 }
 
@@ -160,7 +160,7 @@
   return Rule::object(std::move(all));
 }
 
-// The parts of an item's content in /v1/responses.
+// The content of an input item of /v1/responses.
 Rule item_content() {
   return text() |
          Rule::list(
@@ -170,7 +170,7 @@
                           {"refusal", {{"refusal", text(), kRequired}}},
                           {"input_image",
                            {{"image_url", Rule::text(1), kRequired},
-                            {"detail", Rule::word({"auto", "low", "high"})}}},
+                            {"detail", Rule::one_of({"auto", "low", "high"})}}},
                           {"input_file", {{"file_data", text()}, {"file_id", id()}, {"filename", text()}}}}),
              1);
 }
@@ -180,7 +180,7 @@
       Rule::variant(
           "type",
           {{"message",
-            {{"role", Rule::word({"system", "developer", "user", "assistant"}), kRequired},
+            {{"role", Rule::one_of({"system", "developer", "user", "assistant"}), kRequired},
              {"content", item_content(), kRequired}}},
            {"function_call",
             {{"call_id", id(), kRequired}, {"name", name(), kRequired}, {"arguments", text(), kRequired}}},
@@ -202,19 +202,19 @@
             {{"messages", Rule::list(message(), 1), kRequired},
              {"audio",
               Rule::object({{"voice", Rule::any(), kRequired}, {"format", Rule::text(1, 16), kRequired}})},
-             {"function_call", Rule::word({"none", "auto"}) | Rule::object({{"name", name(), kRequired}})},
+             {"function_call", Rule::one_of({"none", "auto"}) | Rule::object({{"name", name(), kRequired}})},
              {"functions", Rule::list(Rule::object(function_members()), 1, 128)},
-             {"logprobs", Rule::flag()},
+             {"logprobs", Rule::boolean()},
              {"max_completion_tokens", tokens()},
              {"max_tokens", tokens()},
-             {"modalities", Rule::list(Rule::word({"text", "audio"}), 1, 2)},
-             {"parallel_tool_calls", Rule::flag()},
+             {"modalities", Rule::list(Rule::one_of({"text", "audio"}), 1, 2)},
+             {"parallel_tool_calls", Rule::boolean()},
              {"prediction", Rule::variant("type", {{"content", {{"content", texts(), kRequired}}}})},
              {"reasoning_effort", effort()},
              {"response_format", response_format()},
              {"tool_choice", tool_choice()},
              {"tools", tools()},
-             {"top_logprobs", Rule::whole(0, 20)},
+             {"top_logprobs", Rule::integer(0, 20)},
              {"verbosity", verbosity()},
              {"web_search_options", free_object()}}});
   return kRules;
@@ -224,35 +224,35 @@
   static const Rule kRules = with({common(),
                                    sampling(),
                                    {{"prompt", text() | Rule::list(text(), 1, 128), kRequired},
-                                    {"best_of", Rule::whole(1, 20)},
-                                    {"echo", Rule::flag()},
-                                    {"logprobs", Rule::whole(0, 5)},
-                                    {"max_tokens", Rule::whole(0, kMostTokens)},
+                                    {"best_of", Rule::integer(1, 20)},
+                                    {"echo", Rule::boolean()},
+                                    {"logprobs", Rule::integer(0, 5)},
+                                    {"max_tokens", Rule::integer(0, kMaxTokens)},
                                     {"suffix", text()}}});
   return kRules;
 }
 
 const Rule& response_rules() {
-  static const Rule kRules =
-      with({common(),
-            {{"input", text() | items(), kRequired},
-             {"background", Rule::flag()},
-             {"include", Rule::list(text(), 0, 16)},
-             {"instructions", text()},
-             {"max_output_tokens", tokens()},
-             {"max_tool_calls", Rule::whole(1, 1000)},
-             {"parallel_tool_calls", Rule::flag()},
-             {"reasoning",
-              Rule::object({{"effort", effort()}, {"summary", Rule::word({"auto", "concise", "detailed"})}})},
-             {"text", Rule::object({{"format", Rule::variant("type", {{"text", {}},
-                                                                      {"json_object", {}},
-                                                                      {"json_schema", json_schema()}})},
-                                    {"verbosity", verbosity()}})},
-             {"tool_choice", Rule::word({"none", "auto", "required"}) |
-                                 Rule::variant("type", {{"function", {{"name", name(), kRequired}}}})},
-             {"tools", Rule::list(Rule::variant("type", {{"function", function_members()}}), 0, 128)},
-             {"top_logprobs", Rule::whole(0, 20)},
-             {"truncation", Rule::word({"auto", "disabled"})}}});
+  static const Rule kRules = with(
+      {common(),
+       {{"input", text() | items(), kRequired},
+        {"background", Rule::boolean()},
+        {"include", Rule::list(text(), 0, 16)},
+        {"instructions", text()},
+        {"max_output_tokens", tokens()},
+        {"max_tool_calls", Rule::integer(1, 1000)},
+        {"parallel_tool_calls", Rule::boolean()},
+        {"reasoning",
+         Rule::object({{"effort", effort()}, {"summary", Rule::one_of({"auto", "concise", "detailed"})}})},
+        {"text", Rule::object({{"format", Rule::variant("type", {{"text", {}},
+                                                                 {"json_object", {}},
+                                                                 {"json_schema", json_schema()}})},
+                               {"verbosity", verbosity()}})},
+        {"tool_choice", Rule::one_of({"none", "auto", "required"}) |
+                            Rule::variant("type", {{"function", {{"name", name(), kRequired}}}})},
+        {"tools", Rule::list(Rule::variant("type", {{"function", function_members()}}), 0, 128)},
+        {"top_logprobs", Rule::integer(0, 20)},
+        {"truncation", Rule::one_of({"auto", "disabled"})}}});
   return kRules;
 }
 
--- a/src/net/openai/rules.hpp
+++ b/src/net/openai/rules.hpp
@@ -1,6 +1,6 @@
-// A small language for what a request's fields may hold, and the walk that checks one. A rule lists the forms
-// that a value may have, one for each JSON type; fields that no rule names are passed on unlooked at, for the
-// published API grows. Null stands for an absent field wherever that field is optional. Pure.
+// Rules for the fields of a JSON request, and the validation against them. A rule lists the alternatives that
+// a value may match, at most one for each JSON type. Fields without a rule are accepted unchecked, because
+// the published API grows. Null counts as absent wherever a field is optional. No I/O.
 #pragma once
 
 #include <initializer_list>
@@ -16,38 +16,41 @@
 
 class Rule {
  public:
-  // Bounds are inclusive; those of texts are bytes, of lists and maps entries.
+  // Bounds are inclusive: bytes for text, entries for lists and maps.
   static Rule any();
-  static Rule flag();
-  static Rule whole(double least, double most);
-  static Rule number(double least, double most);
-  static Rule text(std::size_t least = 0, std::size_t most = kMostText);
-  static Rule word(std::initializer_list<const char*> words);
-  static Rule list(Rule element, std::size_t least = 0, std::size_t most = kMostEntries);
+  static Rule boolean();
+  static Rule integer(double min, double max);
+  static Rule number(double min, double max);
+  static Rule text(std::size_t min = 0, std::size_t max = kMaxTextBytes);
+  static Rule one_of(std::initializer_list<const char*> words);
+  static Rule list(Rule element, std::size_t min = 0, std::size_t max = kMaxEntries);
   static Rule object(Members members);
-  static Rule map(Rule value, std::size_t most, std::size_t most_key);
-  // An object whose members depend on the word under `key`; `otherwise`: the word where the key is missing.
+  static Rule map(Rule value, std::size_t max, std::size_t max_key_bytes);
+  // An object whose members depend on the string under `key`. `default_variant`: the string to assume if the
+  // key is missing.
   static Rule variant(const char* key, std::vector<std::pair<std::string, Members>> variants,
-                      const char* otherwise = nullptr);
-  // Either form; they differ in their JSON type.
+                      const char* default_variant = nullptr);
+  // Either alternative; they must differ in their JSON type.
   Rule operator|(const Rule& other) const;
 
-  // Throws RequestError with the path of the first field that does not fit.
+  // Throws RequestError with the path of the first invalid field. `path`: of `value`, empty for the body; it
+  // is extended during the call.
   void check(const nlohmann::json& value, std::string& path) const;
 
-  static constexpr std::size_t kMostText = 64 * 1024 * 1024;  // the body's own bound is lower
-  static constexpr std::size_t kMostEntries = 4096;
+  static constexpr std::size_t kMaxTextBytes = 64 * 1024 * 1024;  // the limit for the whole body is lower
+  static constexpr std::size_t kMaxEntries = 4096;
 
  private:
-  enum class Kind { any, flag, whole, number, text, word, list, object, map, variant };
-  struct Form;
-  static Rule of(Form form);
-  [[nodiscard]] static bool fits(const Form& form, const nlohmann::json& value);
-  [[nodiscard]] static std::string described(const Form& form);
+  enum class Kind { any, boolean, integer, number, text, one_of, list, object, map, variant };
+  struct Alternative;
+  static Rule of(Alternative alternative);
+  [[nodiscard]] static bool has_type(const Alternative& alternative, const nlohmann::json& value);
+  [[nodiscard]] static std::string type_description(const Alternative& alternative);
   static void check_members(const Members& members, const nlohmann::json& value, std::string& path);
-  static void check_form(const Form& form, const nlohmann::json& value, std::string& path);
+  static void check_alternative(const Alternative& alternative, const nlohmann::json& value,
+                                std::string& path);
 
-  std::vector<Form> forms_;
+  std::vector<Alternative> alternatives_;
 };
 
 struct Member {
@@ -56,16 +59,16 @@
   bool required = false;
 };
 
-// Defined once its members are complete.
-struct Rule::Form {
-  explicit Form(Kind k, double l = 0.0, double m = 0.0) : kind(k), least(l), most(m) {}
+// Defined here, where Member is complete.
+struct Rule::Alternative {
+  explicit Alternative(Kind k, double l = 0.0, double m = 0.0) : kind(k), min(l), max(m) {}
   Kind kind;
-  double least, most;
-  std::size_t most_key = 0;
+  double min, max;
+  std::size_t max_key_bytes = 0;
   std::vector<std::string> words;
-  std::vector<Rule> inner;  // of a list's entries, of a map's values
+  std::vector<Rule> inner;  // the rule for a list's entries or a map's values
   Members members;
-  std::string key, otherwise;
+  std::string key, default_variant;
   std::vector<std::pair<std::string, Members>> variants;
 };
 
--- a/src/net/openai/translate.cpp
+++ b/src/net/openai/translate.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-std::string dumped(const json& value) { return value.dump(-1, ' ', false, json::error_handler_t::replace); }
+std::string to_text(const json& value) { return value.dump(-1, ' ', false, json::error_handler_t::replace); }
 
 const json* find(const json& object, const char* name) {
   if (!object.is_object()) return nullptr;
@@ -30,7 +30,7 @@
 
 // ---- Requests ----
 
-void refuse_what_is_stored(const json& request) {
+void reject_stored_state(const json& request) {
   for (const char* name : {"previous_response_id", "conversation", "prompt"}) {
     if (find(request, name) != nullptr) {
       throw RequestError{"is not offered here: nothing is stored between requests", name, 400,
@@ -70,7 +70,7 @@
   return parts;
 }
 
-// Calls that one answer made belong to one message.
+// Consecutive tool calls of one answer belong to one message.
 void add_call(const json& item, json& messages) {
   if (messages.empty() || messages.back()["role"] != "assistant") {
     messages.push_back({{"role", "assistant"}, {"content", nullptr}});
@@ -89,8 +89,8 @@
         {{"role", "tool"}, {"tool_call_id", item["call_id"]}, {"content", chat_content(item["output"])}});
     return;
   }
-  if (type == "reasoning") return;  // another model's thoughts; chat requests have no place for them
-  // Older boxes do not know the role of developer, and it stands where system did.
+  if (type == "reasoning") return;  // chat requests have no field for reasoning
+  // Older instances do not know the role `developer`, which replaces `system`.
   const std::string role = text_of(item, "role");
   messages.push_back(
       {{"role", role == "developer" ? "system" : role}, {"content", chat_content(item["content"])}});
@@ -158,7 +158,7 @@
   return prefix + echo.id + "-" + std::to_string(index);
 }
 
-// Why an answer is not whole, by the chat dialect's finish_reason; null: it is.
+// Why an answer is incomplete, by the finish_reason of chat completions; null if it is complete.
 json incomplete_details(const std::string& finish_reason) {
   if (finish_reason == "length") return {{"reason", "max_output_tokens"}};
   if (finish_reason == "content_filter") return {{"reason", "content_filter"}};
@@ -191,9 +191,9 @@
                                                  {"top_p", nullptr},
                                                  {"truncation", "disabled"},
                                                  {"user", nullptr}};
-  for (const auto& [name, otherwise] : echoed) {
+  for (const auto& [name, fallback] : echoed) {
     const json* value = find(echo.request, name);
-    response[name] = value != nullptr ? *value : otherwise;
+    response[name] = value != nullptr ? *value : fallback;
   }
   return response;
 }
@@ -201,7 +201,7 @@
 }  // namespace
 
 json to_chat_request(const json& request) {
-  refuse_what_is_stored(request);
+  reject_stored_state(request);
   json chat = {{"model", request["model"]}};
   json messages = json::array();
   if (const json* instructions = find(request, "instructions")) {
@@ -283,7 +283,7 @@
 std::string ResponseStream::event(const char* type, json fields) {
   fields["type"] = type;
   fields["sequence_number"] = sequence_++;
-  return std::string("event: ") + type + "\ndata: " + dumped(fields) + "\n\n";
+  return std::string("event: ") + type + "\ndata: " + to_text(fields) + "\n\n";
 }
 
 json ResponseStream::response(const char* status) const {
@@ -312,7 +312,7 @@
   return *message_;
 }
 
-// `kind`: of the part, output_text or refusal; `field`: of it, the text.
+// `kind`: type of the content part, output_text or refusal. `field`: the member that holds its text.
 void ResponseStream::text_delta(const char* kind, const char* field, const std::string& delta,
                                 std::string& out) {
   if (delta.empty()) return;
--- a/src/net/openai/translate.hpp
+++ b/src/net/openai/translate.hpp
@@ -1,5 +1,6 @@
-// /v1/responses in terms of /v1/chat/completions and back, for boxes that speak only the latter. Text in and
-// out, function tools, nothing stored. Pure: equal inputs give equal bytes.
+// Translates /v1/responses to /v1/chat/completions and back, for instances that support only the latter.
+// Covers text input and output and function tools; nothing is stored. Deterministic: equal inputs give equal
+// bytes.
 #pragma once
 
 #include <map>
@@ -11,36 +12,37 @@
 
 namespace bankmux::net::openai {
 
-// The chat request for one that the rules of /v1/responses have passed. Throws RequestError naming what it
-// asks for that cannot be had here: stored conversations, background work.
+// Translates a request that the rules of /v1/responses have accepted. Throws RequestError that names a
+// feature which is not supported: stored conversations or background work.
 nlohmann::json to_chat_request(const nlohmann::json& request);
 
-// What a response repeats of its request, and what names it.
+// What a response repeats of its request, and its id.
 struct ResponseEcho {
-  std::string id;            // of the request; the response is resp_ and this
+  std::string id;            // of the request; the response's id is resp_ followed by this
   std::int64_t created = 0;  // Unix seconds
-  nlohmann::json request;    // as it came; its input is not kept
+  nlohmann::json request;    // without its input
 };
 ResponseEcho echo_of(const nlohmann::json& request, std::string id, std::int64_t created);
 
-// The response object for a whole chat completion; nothing where that is none.
+// The response object for a complete chat completion; nullopt if `completion` is not one.
 std::optional<nlohmann::json> to_response(const nlohmann::json& completion, const ResponseEcho& echo);
 
-// A stream of chat chunks to typed events. begin(), then chunk() for each, then finish() or fail().
+// Translates a stream of chat chunks to typed events: call begin(), chunk() for each chunk, then finish() or
+// fail().
 class ResponseStream {
  public:
   explicit ResponseStream(ResponseEcho echo) : echo_(std::move(echo)) {}
 
   std::string begin();
-  // One chunk's events; nothing for what is no chunk.
+  // The events for one chunk; empty if the value is not a chunk.
   std::string chunk(const nlohmann::json& chunk);
-  // The last events. Its response is what to_response makes of the same answer in one piece.
+  // The final events. Their response equals to_response() for the same answer in one piece.
   std::string finish();
   std::string fail(std::string_view code, std::string_view message);
 
  private:
   struct Item {
-    nlohmann::json value;  // of the output list, with what has come so far
+    nlohmann::json value;  // entry of the output list, with what has been received so far
     std::string id;
   };
   std::string event(const char* type, nlohmann::json fields);
@@ -54,7 +56,7 @@
   std::int64_t sequence_ = 0;
   std::vector<Item> items_;
   std::optional<std::size_t> message_;
-  std::map<std::int64_t, std::size_t> calls_;  // by the chunk's index of a call
+  std::map<std::int64_t, std::size_t> calls_;  // index in items_ by the chunk's tool-call index
   std::string finish_reason_;
   nlohmann::json usage_;
   std::string model_;
--- a/src/recovery/recovery.cpp
+++ b/src/recovery/recovery.cpp
@@ -9,9 +9,10 @@
 
 namespace {
 
-constexpr std::size_t kNoLimit = std::size_t(1) << 30;  // the instance side has bounded events already
-constexpr std::int64_t kLettersPerToken = 4;
-constexpr const char* kRepeated[] = {"id", "object", "created", "model", "system_fingerprint"};
+// Effectively unlimited: the instance client has already limited the size of events.
+constexpr std::size_t kNoEventLimit = std::size_t(1) << 30;
+constexpr std::int64_t kBytesPerToken = 4;
+constexpr const char* kCommonFields[] = {"id", "object", "created", "model", "system_fingerprint"};
 
 const json* member(const json& object, const char* name) {
   if (!object.is_object()) return nullptr;
@@ -25,21 +26,21 @@
   return std::int64_t(std::clamp(value->get<double>(), 0.0, 1e9));
 }
 
-// The text of a choice, in either form; where there is none, null.
-const std::string* text_of(const json& choice, Form form) {
-  const json* at = form == Form::chat ? member(choice, "delta") : &choice;
-  const json* text = at != nullptr ? member(*at, form == Form::chat ? "content" : "text") : nullptr;
+// The text of a choice in either format; null if there is none.
+const std::string* text_of(const json& choice, AnswerFormat format) {
+  const json* at = format == AnswerFormat::chat ? member(choice, "delta") : &choice;
+  const json* text = at != nullptr ? member(*at, format == AnswerFormat::chat ? "content" : "text") : nullptr;
   return text != nullptr && text->is_string() ? text->get_ptr<const std::string*>() : nullptr;
 }
 
-bool tells_error(std::string_view event) {
+bool is_error_event(std::string_view event) {
   if (event.find("error") == std::string_view::npos) return false;
   if (event.starts_with("event: error") || event.find("\nevent: error") != std::string_view::npos)
     return true;
   return member(json::parse(sse::event_data(event), nullptr, false), "error") != nullptr;
 }
 
-std::vector<std::string> stops_of(const json& body) {
+std::vector<std::string> stop_strings(const json& body) {
   std::vector<std::string> stops;
   const json* stop = member(body, "stop");
   if (stop == nullptr) return stops;
@@ -52,33 +53,36 @@
   return stops;
 }
 
-// Why this request's answer is not to be continued; null where it may be.
-const char* unsound(const json& body, const Written& written) {
+// Why this request's answer cannot be continued; null if it can. The texts appear in the log.
+const char* unsupported_reason(const json& body, const WrittenAnswer& written) {
   if (const json* n = member(body, "n"); n != nullptr && *n != 1) return "n is above 1";
   if (written.other_choices) return "it has more than one choice";
   if (written.tool_calls) return "a tool call has begun";
-  if (const json* logs = member(body, "logprobs"); logs != nullptr && *logs != false) return "logprobs";
+  if (const json* logprobs = member(body, "logprobs"); logprobs != nullptr && *logprobs != false)
+    return "logprobs";
   if (member(body, "seed") != nullptr) return "a seed promises the same answer";
   if (const json* echo = member(body, "echo"); echo != nullptr && *echo != false) return "echo";
-  if (const json* best = member(body, "best_of"); best != nullptr && *best != 1) return "best_of is above 1";
+  if (const json* best_of = member(body, "best_of"); best_of != nullptr && *best_of != 1)
+    return "best_of is above 1";
   if (member(body, "suffix") != nullptr) return "suffix";
-  const json* format = member(body, "response_format");
-  if (format != nullptr && (!member(*format, "type") || (*format)["type"] != "text"))
+  const json* response_format = member(body, "response_format");
+  if (response_format != nullptr &&
+      (!member(*response_format, "type") || (*response_format)["type"] != "text"))
     return "response_format";
   return nullptr;
 }
 
 }  // namespace
 
-Written read_events(std::string_view events, Form form) {
-  Written written;
-  std::int64_t pieces = 0;
-  sse::EventSplitter splitter(kNoLimit);
+WrittenAnswer read_events(std::string_view events, AnswerFormat format) {
+  WrittenAnswer written;
+  std::int64_t text_events = 0;
+  sse::EventSplitter splitter(kNoEventLimit);
   splitter.feed(events, [&](std::string_view event) {
     const json value = json::parse(sse::event_data(event), nullptr, false);
     if (!value.is_object()) return;
-    for (const char* name : kRepeated) {
-      if (value.contains(name)) written.about[name] = value[name];
+    for (const char* name : kCommonFields) {
+      if (value.contains(name)) written.common_fields[name] = value[name];
     }
     if (const json* usage = member(value, "usage"); usage != nullptr && usage->is_object())
       written.usage = *usage;
@@ -87,9 +91,9 @@
     for (const json& choice : *choices) {
       if (!choice.is_object()) continue;
       written.other_choices |= number(choice, "index") != 0;
-      if (const std::string* text = text_of(choice, form); text != nullptr && !text->empty()) {
+      if (const std::string* text = text_of(choice, format); text != nullptr && !text->empty()) {
         written.text += *text;
-        ++pieces;
+        ++text_events;
       }
       if (const json* delta = member(choice, "delta")) {
         written.tool_calls |=
@@ -98,178 +102,178 @@
       written.finished |= member(choice, "finish_reason") != nullptr;
     }
   });
-  written.tokens = std::max(pieces, std::int64_t(written.text.size()) / kLettersPerToken);
+  written.tokens = std::max(text_events, std::int64_t(written.text.size()) / kBytesPerToken);
   if (written.usage) written.tokens = std::max(written.tokens, number(*written.usage, "completion_tokens"));
   return written;
 }
 
-std::string Recovery::keep(std::string out) {
+std::string StreamRecovery::retain(std::string out) {
   if (way_ == Way::none || too_long_) return out;
-  too_long_ = kept_.size() + out.size() > kMostKept;
+  too_long_ = retained_.size() + out.size() > kMaxRetainedBytes;
   if (too_long_) {
-    std::string().swap(kept_);
+    std::string().swap(retained_);
   } else {
-    kept_ += out;
+    retained_ += out;
   }
   return out;
 }
 
-std::string Recovery::pass(std::string_view events) {
+std::string StreamRecovery::forward(std::string_view events) {
   if (way_ == Way::none) return std::string(events);
-  if (!seam_ && events.find("error") == std::string_view::npos) return keep(std::string(events));
+  if (!splicer_ && events.find("error") == std::string_view::npos) return retain(std::string(events));
   std::string out;
-  sse::EventSplitter splitter(kNoLimit);
+  sse::EventSplitter splitter(kNoEventLimit);
   splitter.feed(events, [&](std::string_view event) {
-    if (tells_error(event)) {
-      error_ = event;
-    } else if (seam_) {
-      out += joined(event);
+    if (is_error_event(event)) {
+      withheld_error_ = event;
+    } else if (splicer_) {
+      out += splice(event);
     } else {
       out += event;
     }
   });
-  return keep(std::move(out));
+  return retain(std::move(out));
 }
 
-std::string Recovery::event_of(const json& value) const {
+std::string StreamRecovery::event_of(const json& value) const {
   return "data: " + value.dump(-1, ' ', false, json::error_handler_t::replace) + "\n\n";
 }
 
-json Recovery::chunk(const std::string& text, const json& finish) const {
+json StreamRecovery::chunk(const std::string& text, const json& finish) const {
   json choice = {{"index", 0}, {"finish_reason", finish}};
-  if (form_ == Form::chat) {
+  if (format_ == AnswerFormat::chat) {
     choice["delta"] = text.empty() ? json::object() : json{{"content", text}};
   } else {
     choice["text"] = text;
   }
-  json value = written_.about;
+  json value = written_.common_fields;
   value["choices"] = json::array({std::move(choice)});
   return value;
 }
 
-std::string Recovery::joined(std::string_view event) {
+std::string StreamRecovery::splice(std::string_view event) {
   const std::string data = sse::event_data(event);
-  if (failed() || over_) return "";
+  if (failed() || finished_) return "";
   if (data == "[DONE]") {
-    const std::string last = seam_->finish();
+    const std::string last = splicer_->finish();
     if (failed()) return "";
-    over_ = true;
+    finished_ = true;
     return (last.empty() ? "" : event_of(chunk(last, nullptr))) + "data: [DONE]\n\n";
   }
   json value = json::parse(data, nullptr, false);
   if (!value.is_object()) return sse::only_comments(event) ? std::string(event) : "";
-  for (const char* name : kRepeated) {
-    if (written_.about.contains(name)) {
-      value[name] = written_.about[name];
+  for (const char* name : kCommonFields) {
+    if (written_.common_fields.contains(name)) {
+      value[name] = written_.common_fields[name];
     } else {
       value.erase(name);
     }
   }
-  bool says = false;
+  bool has_content = false;
   if (json* usage = value.contains("usage") && value["usage"].is_object() ? &value["usage"] : nullptr) {
-    // Its prompt holds what was written: counted once, as a part of the answer.
+    // The second instance's prompt includes the partial answer, which is counted once, as part of the answer.
     const std::int64_t prompt = std::max<std::int64_t>(number(*usage, "prompt_tokens") - written_.tokens, 0);
     const std::int64_t answer = written_.tokens + number(*usage, "completion_tokens");
     (*usage)["prompt_tokens"] = prompt;
     (*usage)["completion_tokens"] = answer;
     (*usage)["total_tokens"] = prompt + answer;
-    says = true;
+    has_content = true;
   }
   if (value.contains("choices") && value["choices"].is_array()) {
     for (json& choice : value["choices"]) {
       if (!choice.is_object()) continue;
       const json* finish = member(choice, "finish_reason");
-      const std::string* said = text_of(choice, form_);
-      const bool had_text = said != nullptr;
-      std::string text = had_text ? seam_->feed(*said) : "";
-      if (finish != nullptr) text += seam_->finish();
+      const std::string* text_delta = text_of(choice, format_);
+      const bool had_text = text_delta != nullptr;
+      std::string text = had_text ? splicer_->feed(*text_delta) : "";
+      if (finish != nullptr) text += splicer_->finish();
       if (failed()) return "";
-      if (seam_->state() == Seam::State::stopped && !std::exchange(over_, true)) {
+      if (splicer_->state() == ContinuationSplicer::State::stopped && !std::exchange(finished_, true)) {
         return event_of(chunk("", "stop")) + "data: [DONE]\n\n";
       }
-      if (form_ == Form::chat) {
+      if (format_ == AnswerFormat::chat) {
         json& delta = choice["delta"];
         if (!delta.is_object()) delta = json::object();
-        delta.erase("role");  // the client has had it
+        delta.erase("role");  // already sent by the first instance
         delta.erase("content");
         if (!text.empty()) delta["content"] = text;
-        says |= !delta.empty();
+        has_content |= !delta.empty();
       } else {
         choice["text"] = text;
-        says |= !text.empty();
+        has_content |= !text.empty();
       }
-      says |= finish != nullptr;
+      has_content |= finish != nullptr;
     }
   } else {
-    says = true;  // something of the box's own
+    has_content = true;  // an instance-specific event without choices
   }
-  return says ? event_of(value) : "";
+  return has_content ? event_of(value) : "";
 }
 
-Next Recovery::lost(const std::string& body) {
-  Next next;
-  const auto ends = [&next](const char* reason) {
+Continuation StreamRecovery::instance_lost(const std::string& body) {
+  Continuation next;
+  const auto give_up = [&next](const char* reason) {
     next.reason = reason;
     return next;
   };
-  if (way_ == Way::none) return ends("its model does not say how its boxes go on");
-  if (too_long_) return ends("more was written than is kept");
-  if (failed()) return ends(reason());
-  // Held at the seam and not given: the next box writes it again.
+  if (way_ == Way::none) return give_up("its model does not say how its boxes go on");
+  if (too_long_) return give_up("more was written than is kept");
+  if (failed()) return give_up(reason());
+  // Text withheld by the splicer was never sent, so the next instance has to generate it again.
   const json request = json::parse(body, nullptr, false);
-  if (!request.is_object()) return ends("the request can't be read");
-  written_ = read_events(kept_, form_);
+  if (!request.is_object()) return give_up("the request can't be read");
+  written_ = read_events(retained_, format_);
   if (written_.finished) {
-    next.what = Next::What::finish;
-    next.bytes = keep("data: [DONE]\n\n");
+    next.action = Continuation::Action::finish;
+    next.bytes = retain("data: [DONE]\n\n");
     return next;
   }
-  if (form_ == Form::chat && way_ == Way::prompt)
-    return ends("its model's boxes go on with completions alone");
-  if (const char* why = unsound(request, written_)) return ends(why);
-  json more = request;
-  next.written = written_.tokens;
+  if (format_ == AnswerFormat::chat && way_ == Way::prompt)
+    return give_up("its model's boxes go on with completions alone");
+  if (const char* why = unsupported_reason(request, written_)) return give_up(why);
+  json continued_request = request;
+  next.written_tokens = written_.tokens;
   for (const char* name : {"max_completion_tokens", "max_tokens"}) {
-    const json* most = member(request, name);
-    if (most == nullptr) continue;
-    next.left = number(request, name) - written_.tokens;
-    if (next.left <= 0) {
-      next.what = Next::What::finish;
-      next.bytes = keep(event_of(chunk("", "length")) + "data: [DONE]\n\n");
+    const json* token_limit = member(request, name);
+    if (token_limit == nullptr) continue;
+    next.remaining_tokens = number(request, name) - written_.tokens;
+    if (next.remaining_tokens <= 0) {
+      next.action = Continuation::Action::finish;
+      next.bytes = retain(event_of(chunk("", "length")) + "data: [DONE]\n\n");
       return next;
     }
-    more[name] = next.left;
+    continued_request[name] = next.remaining_tokens;
   }
   if (!written_.text.empty()) {
-    if (form_ == Form::chat) {
-      if (!more.contains("messages") || !more["messages"].is_array())
-        return ends("the request has no messages");
-      json& messages = more["messages"];
-      const json* begun = member(request, "continue_final_message");
-      if (begun != nullptr && *begun == true) {
-        // Its client has begun the answer itself.
+    if (format_ == AnswerFormat::chat) {
+      if (!continued_request.contains("messages") || !continued_request["messages"].is_array())
+        return give_up("the request has no messages");
+      json& messages = continued_request["messages"];
+      const json* continue_flag = member(request, "continue_final_message");
+      if (continue_flag != nullptr && *continue_flag == true) {
+        // The client itself supplied the beginning of the answer.
         json* last = messages.empty() ? nullptr : &messages.back();
         if (last == nullptr || !last->contains("content") || !(*last)["content"].is_string()) {
-          return ends("the request begins its answer in parts");
+          return give_up("the request begins its answer in parts");
         }
         (*last)["content"] = (*last)["content"].get<std::string>() + written_.text;
       } else {
         messages.push_back({{"role", "assistant"}, {"content", written_.text}});
       }
-      more["continue_final_message"] = true;
-      more["add_generation_prompt"] = false;
+      continued_request["continue_final_message"] = true;
+      continued_request["add_generation_prompt"] = false;
     } else {
-      const json* prompt = member(more, "prompt");
+      const json* prompt = member(continued_request, "prompt");
       if (prompt != nullptr && prompt->is_array() && prompt->size() == 1) prompt = &prompt->front();
-      if (prompt == nullptr || !prompt->is_string()) return ends("it has more than one prompt");
-      more["prompt"] = prompt->get<std::string>() + written_.text;
+      if (prompt == nullptr || !prompt->is_string()) return give_up("it has more than one prompt");
+      continued_request["prompt"] = prompt->get<std::string>() + written_.text;
     }
   }
-  next.what = Next::What::go_on;
-  next.body = more.dump(-1, ' ', false, json::error_handler_t::replace);
-  seam_.emplace(written_.text, stops_of(request));
-  error_.clear();
-  ++continued_;
+  next.action = Continuation::Action::resume;
+  next.body = continued_request.dump(-1, ' ', false, json::error_handler_t::replace);
+  splicer_.emplace(written_.text, stop_strings(request));
+  withheld_error_.clear();
+  ++continuations_;
   return next;
 }
 
--- a/src/recovery/recovery.hpp
+++ b/src/recovery/recovery.hpp
@@ -1,6 +1,6 @@
-// Keeps what a stream's client was given, and when its box is lost says whether and how another can go on
-// with it; then makes the second box's events those of the first one's answer. For the chat dialect, chat and
-// completions. Pure.
+// Recovery of a stream whose instance is lost: keeps the events that the client has received, decides whether
+// and how another instance can continue the answer, and rewrites that instance's events as a continuation of
+// the first one's. For the streams of /v1/chat/completions and /v1/completions. No I/O.
 #pragma once
 
 #include <cstdint>
@@ -14,68 +14,77 @@
 
 namespace bankmux::recovery {
 
-// How a model's boxes go on with a begun answer.
+// How the instances of a model continue a partial answer: not at all, from a final assistant message, or from
+// a prompt that ends with the partial answer.
 enum class Way { none, final_message, prompt };
-enum class Form { chat, completion };
+// The endpoint whose format the events have.
+enum class AnswerFormat { chat, completion };
 
-constexpr std::size_t kMostKept = 256 * 1024;  // bytes of events of one stream; a longer one is not continued
+// Events retained of one stream; a longer stream is not continued.
+constexpr std::size_t kMaxRetainedBytes = 256 * 1024;
 
-// What was written, as read from the events kept.
-struct Written {
+// The partial answer, as read from the retained events.
+struct WrittenAnswer {
   std::string text;
-  std::int64_t tokens = 0;  // by the box's usage, else one for each event with text, or four letters
+  // As reported in the usage; at least one for each event with text and one for each four bytes of text.
+  std::int64_t tokens = 0;
   bool tool_calls = false, other_choices = false, finished = false;
-  nlohmann::json about = nlohmann::json::object();  // id, created, model and what else each event repeats
+  // The fields that every event repeats: id, created, model and so on.
+  nlohmann::json common_fields = nlohmann::json::object();
   std::optional<nlohmann::json> usage;
 };
-Written read_events(std::string_view events, Form form);
+WrittenAnswer read_events(std::string_view events, AnswerFormat format);
 
-// What to do with a stream whose box is lost.
-struct Next {
-  enum class What {
-    end,     // it stays broken; `reason` says why
-    finish,  // nothing but its end was missing: `bytes` are it
-    go_on,   // ask another box with `body`
+// What to do with a stream whose instance is lost.
+struct Continuation {
+  enum class Action {
+    give_up,  // it cannot be continued; `reason` says why
+    finish,   // only its end was missing: send `bytes`
+    resume,   // send `body` to another instance
   };
-  What what = What::end;
+  Action action = Action::give_up;
   const char* reason = "";
   std::string bytes;
   std::string body;
-  std::int64_t written = 0;  // tokens of the answer so far
-  std::int64_t left = 0;     // that it may still have; 0: not limited
+  std::int64_t written_tokens = 0;    // of the answer so far
+  std::int64_t remaining_tokens = 0;  // still allowed by the request's limit; 0: no limit
 };
 
-class Recovery {
+// One for each stream that may be continued.
+class StreamRecovery {
  public:
-  Recovery(Way way, Form form) : way_(way), form_(form) {}
+  StreamRecovery(Way way, AnswerFormat format) : way_(way), format_(format) {}
 
-  // Whole events of a box; what goes on to the client. An error event is held back: it may be recovered from.
-  std::string pass(std::string_view events);
-  // The box is lost. `body`: the request as its client sent it.
-  [[nodiscard]] Next lost(const std::string& body);
-  // The error event that the last box sent, where it comes to that; empty: none.
-  [[nodiscard]] const std::string& error_event() const { return error_; }
-  // The second box's words can't be joined: the stream must fail.
-  [[nodiscard]] bool failed() const { return seam_ && seam_->state() == Seam::State::failed; }
-  [[nodiscard]] const char* reason() const { return seam_ ? seam_->reason() : ""; }
-  [[nodiscard]] int continued() const { return continued_; }
+  // Takes complete events of an instance and returns what goes to the client. Error events are withheld,
+  // because the stream may still be recovered.
+  std::string forward(std::string_view events);
+  // The instance is lost. `body`: the request as sent to the first instance.
+  [[nodiscard]] Continuation instance_lost(const std::string& body);
+  // The error event of the last instance, to be sent if the stream is not recovered; empty: none.
+  [[nodiscard]] const std::string& withheld_error() const { return withheld_error_; }
+  // The second instance's text cannot be joined to the first one's: the stream must fail.
+  [[nodiscard]] bool failed() const {
+    return splicer_ && splicer_->state() == ContinuationSplicer::State::failed;
+  }
+  [[nodiscard]] const char* reason() const { return splicer_ ? splicer_->reason() : ""; }
+  [[nodiscard]] int continued() const { return continuations_; }
 
  private:
-  // One event of a box that goes on; what the client gets in its place.
-  std::string joined(std::string_view event);
+  // Rewrites one event of a continuing instance for the client.
+  std::string splice(std::string_view event);
   [[nodiscard]] std::string event_of(const nlohmann::json& value) const;
   [[nodiscard]] nlohmann::json chunk(const std::string& text, const nlohmann::json& finish) const;
-  std::string keep(std::string out);
+  std::string retain(std::string out);
 
   Way way_;
-  Form form_;
-  std::string kept_;  // events that the client was given
+  AnswerFormat format_;
+  std::string retained_;  // events that the client has received
   bool too_long_ = false;
-  std::string error_;
-  int continued_ = 0;
-  Written written_;  // as it was at the last loss
-  std::optional<Seam> seam_;
-  bool over_ = false;  // a finish or [DONE] has been given
+  std::string withheld_error_;
+  int continuations_ = 0;
+  WrittenAnswer written_;  // the partial answer when the last instance was lost
+  std::optional<ContinuationSplicer> splicer_;
+  bool finished_ = false;  // a stop string or [DONE] has ended the answer
 };
 
 }  // namespace bankmux::recovery
--- a/src/recovery/seam.cpp
+++ b/src/recovery/seam.cpp
@@ -7,88 +7,91 @@
 
 namespace {
 
-std::size_t common(std::string_view a, std::string_view b) {
+std::size_t common_prefix_length(std::string_view a, std::string_view b) {
   return std::size_t(std::ranges::mismatch(a, b).in1 - a.begin());
 }
 
-bool within_code_point(char c) { return (static_cast<unsigned char>(c) & 0xC0) == 0x80; }
+bool is_continuation_byte(char c) { return (static_cast<unsigned char>(c) & 0xC0) == 0x80; }
 
 }  // namespace
 
-Seam::Seam(std::string written, std::vector<std::string> stops)
+ContinuationSplicer::ContinuationSplicer(std::string written, std::vector<std::string> stops)
     : written_(std::move(written)), stops_(std::move(stops)) {}
 
-std::string Seam::feed(std::string_view text) {
+std::string ContinuationSplicer::feed(std::string_view text) {
   if (state_ == State::joined) return std::string(text);
-  if (state_ != State::open) return "";
-  held_ += text;
-  return decide(false);
+  if (state_ != State::undecided) return "";
+  withheld_ += text;
+  return locate_join(false);
 }
 
-std::string Seam::finish() { return state_ == State::open ? decide(true) : ""; }
+std::string ContinuationSplicer::finish() { return state_ == State::undecided ? locate_join(true) : ""; }
 
-std::string Seam::fail(const char* reason) {
+std::string ContinuationSplicer::fail(const char* reason) {
   state_ = State::failed;
   reason_ = reason;
   return "";
 }
 
-// `whole`: no more will come.
-std::string Seam::decide(bool whole) {
-  if (joined_) return join(joined_at_, whole);
-  const std::string_view w = written_, n = held_;
-  if (w.empty()) return join(0, whole);
-  const std::size_t same = common(w, n);
-  if (same == w.size()) {
-    if (w.size() >= kCertain) return join(w.size(), whole);
+// Finds where the continuation begins in the withheld text. `at_end`: no more text will come.
+std::string ContinuationSplicer::locate_join(bool at_end) {
+  if (join_found_) return join(join_offset_, at_end);
+  const std::string_view earlier = written_, continued = withheld_;
+  if (earlier.empty()) return join(0, at_end);
+  const std::size_t from_start = common_prefix_length(earlier, continued);
+  if (from_start == earlier.size()) {
+    if (earlier.size() >= kMinCertainMatch) return join(earlier.size(), at_end);
     return fail("it may have begun anew: the text so far is too short to tell");
   }
-  // All that has come agrees with W's beginning: the next letter may part them.
-  if (same == n.size() && !whole) return "";
-  if (same >= kChance) return fail("the box began anew");
-  // Which ends of W does N begin with, and which may it still turn out to begin with?
-  std::size_t longest = 0;
-  int ends = 0;
-  for (std::size_t at = w.size() - std::min(w.size(), kLookBack); at + kChance <= w.size(); ++at) {
-    if (within_code_point(w[at])) continue;
-    const std::string_view end = w.substr(at);
-    const std::size_t agree = common(end, n);
-    if (agree == end.size()) {
-      ++ends;
-      longest = std::max(longest, agree);
-    } else if (agree == n.size()) {
-      if (!whole) return "";
-      // It ends within what may be repeated words: neither repeated nor new for certain.
-      if (agree >= kChance) return fail("its words can't be told from a repetition");
+  // So far the new text equals the beginning of the answer; the next character may differ.
+  if (from_start == continued.size() && !at_end) return "";
+  if (from_start >= kMinSuspectMatch) return fail("the box began anew");
+  // Find the tails of the answer that the new text begins with, or may still turn out to begin with.
+  std::size_t longest_match = 0;
+  int matches = 0;
+  for (std::size_t at = earlier.size() - std::min(earlier.size(), kMaxLookBack);
+       at + kMinSuspectMatch <= earlier.size(); ++at) {
+    if (is_continuation_byte(earlier[at])) continue;
+    const std::string_view tail = earlier.substr(at);
+    const std::size_t matched = common_prefix_length(tail, continued);
+    if (matched == tail.size()) {
+      ++matches;
+      longest_match = std::max(longest_match, matched);
+    } else if (matched == continued.size()) {
+      if (!at_end) return "";
+      // The text ends inside a possible repetition, so it is neither certainly repeated nor certainly new.
+      if (matched >= kMinSuspectMatch) return fail("its words can't be told from a repetition");
     }
   }
-  if (ends == 0) return join(0, whole);
-  if (ends > 1 || longest < kCertain) return fail("its words can't be told from a repetition");
-  return join(longest, whole);
+  if (matches == 0) return join(0, at_end);
+  if (matches > 1 || longest_match < kMinCertainMatch)
+    return fail("its words can't be told from a repetition");
+  return join(longest_match, at_end);
 }
 
-// N goes on after `drop` bytes; a stop string across the seam is looked for before anything is let through.
-std::string Seam::join(std::size_t drop, bool whole) {
-  joined_ = true;
-  joined_at_ = drop;
-  const std::string_view fresh = std::string_view(held_).substr(drop);
-  bool open = false;
-  std::size_t cut = std::string::npos;
+// The new text begins after `repeated` bytes. Nothing is released before stop strings that span the join are
+// ruled out.
+std::string ContinuationSplicer::join(std::size_t repeated, bool at_end) {
+  join_found_ = true;
+  join_offset_ = repeated;
+  const std::string_view new_text = std::string_view(withheld_).substr(repeated);
+  bool undecided = false;
+  std::size_t stop_offset = std::string::npos;
   for (const std::string& stop : stops_) {
-    for (std::size_t before = 1; before < stop.size() && before <= written_.size(); ++before) {
-      if (!std::string_view(written_).ends_with(std::string_view(stop).substr(0, before))) continue;
-      const std::string_view rest = std::string_view(stop).substr(before);
-      if (fresh.starts_with(rest)) cut = 0;
-      open |= fresh.size() < rest.size() && rest.starts_with(fresh);
+    for (std::size_t stop_part = 1; stop_part < stop.size() && stop_part <= written_.size(); ++stop_part) {
+      if (!std::string_view(written_).ends_with(std::string_view(stop).substr(0, stop_part))) continue;
+      const std::string_view rest = std::string_view(stop).substr(stop_part);
+      if (new_text.starts_with(rest)) stop_offset = 0;
+      undecided |= new_text.size() < rest.size() && rest.starts_with(new_text);
     }
   }
-  if (cut == 0) {
+  if (stop_offset == 0) {
     state_ = State::stopped;
     return "";
   }
-  if (open && !whole) return "";
+  if (undecided && !at_end) return "";
   state_ = State::joined;
-  return std::string(fresh);
+  return std::string(new_text);
 }
 
 }  // namespace bankmux::recovery
--- a/src/recovery/seam.hpp
+++ b/src/recovery/seam.hpp
@@ -1,5 +1,6 @@
-// Where a continued answer joins what was written: decides whether the second box goes on, repeats words, or
-// began anew. The rule and its reasons: docs/recovery-design.md. Pure.
+// Joins the text of a continued answer to the text that the first instance wrote. The second instance may
+// continue it, repeat its last words, or start over; this decides which. The rule and its reasons are in
+// docs/recovery-design.md. No I/O.
 #pragma once
 
 #include <cstddef>
@@ -9,35 +10,36 @@
 
 namespace bankmux::recovery {
 
-constexpr std::size_t kChance = 8;           // bytes; fewer that agree are chance
-constexpr std::size_t kCertain = 24;         // as many or more are no chance
-constexpr std::size_t kLookBack = 4 * 1024;  // how far back repeated last words may begin
+constexpr std::size_t kMinSuspectMatch = 8;     // bytes; a shorter match is taken for chance
+constexpr std::size_t kMinCertainMatch = 24;    // bytes; a match this long is taken for a repetition
+constexpr std::size_t kMaxLookBack = 4 * 1024;  // bytes; how far back a repetition may begin
 
-class Seam {
+class ContinuationSplicer {
  public:
-  // `written`: all text that the client has. `stops`: texts at which the answer ends.
-  Seam(std::string written, std::vector<std::string> stops);
+  // `written`: all text that the client has received. `stops`: the request's stop strings.
+  ContinuationSplicer(std::string written, std::vector<std::string> stops);
 
-  enum class State { open, joined, stopped, failed };
-  // Takes text of the second box; returns what goes on to the client. Nothing while it can't be told.
+  // `stopped`: a stop string spans the join, so the answer ends there. `failed`: the texts cannot be joined.
+  enum class State { undecided, joined, stopped, failed };
+  // Takes text of the second instance and returns what goes to the client; empty while undecided.
   std::string feed(std::string_view text);
-  // No more text comes: what was held back, if it joins.
+  // The text is complete: returns what was withheld, if it can be joined.
   std::string finish();
   [[nodiscard]] State state() const { return state_; }
-  // Why it failed, in words.
+  // Why it failed, for the log.
   [[nodiscard]] const char* reason() const { return reason_; }
 
  private:
-  std::string decide(bool whole);
-  std::string join(std::size_t drop, bool whole);
+  std::string locate_join(bool at_end);
+  std::string join(std::size_t repeated, bool at_end);
   std::string fail(const char* reason);
 
   std::string written_;
   std::vector<std::string> stops_;
-  std::string held_;
-  std::size_t joined_at_ = 0;  // of held_, once it has joined and waits for a stop string to be told
-  bool joined_ = false;
-  State state_ = State::open;
+  std::string withheld_;
+  std::size_t join_offset_ = 0;  // in withheld_, once found; a stop string may still be undecided
+  bool join_found_ = false;
+  State state_ = State::undecided;
   const char* reason_ = "";
 };
 
--- a/src/recovery/silence.cpp
+++ b/src/recovery/silence.cpp
@@ -9,70 +9,73 @@
 
 namespace {
 
-constexpr double kGain = 0.02;           // a gap's weight: the last hundred count most
-constexpr std::int64_t kLearned = 50;    // gaps before its pace says anything
-constexpr double kDeviations = 6.0;      // one gap in 10^9, were they log-normal, which stalls are not
-constexpr double kLongestTimes = 2.0;    // so the longest gap seen of late counts besides
-constexpr double kLongestHalves = 60.0;  // seconds
-constexpr double kShortestGap = 1e-4;    // seconds; events that come together have no pace
-constexpr double kOneStream = 3.0;       // of the limit, where the box writes to others meanwhile
+constexpr double kMinSampleWeight = 0.02;      // a gap's least weight; the last hundred or so dominate
+constexpr std::int64_t kMinGaps = 50;          // below this the statistics are not used
+constexpr double kDeviations = 6.0;            // a log-normal gap exceeds this once in 10^9
+constexpr double kLongestGapFactor = 2.0;      // stalls are not log-normal: the longest recent gap counts too
+constexpr double kLongestGapHalfLifeS = 60.0;  // seconds in which the longest gap decays by half
+constexpr double kShortestGapS = 1e-4;         // seconds; floor for events that arrive together
+constexpr double kSingleStreamFactor = 3.0;    // times the limit, if the instance's other streams are active
 
-double seconds(Duration time) { return double(time.count()) / 1e6; }
-Duration micros(double time) { return Duration(std::int64_t(time * 1e6)); }
+double to_seconds(Duration time) { return double(time.count()) / 1e6; }
+Duration to_duration(double time) { return Duration(std::int64_t(time * 1e6)); }
 
 }  // namespace
 
-void SilenceDetector::ended(EngineId box) {
-  Box& b = boxes_[box];
-  b.streams = std::max(b.streams - 1, 0);
+void SilenceDetector::ended(EngineId instance) {
+  Instance& state = instances_[instance];
+  state.streams = std::max(state.streams - 1, 0);
 }
 
-void SilenceDetector::event(EngineId box, Time now, Duration gap) {
-  Box& b = boxes_[box];
-  b.last = std::max(b.last, now);
-  const double length = std::max(seconds(gap), kShortestGap);
-  const double value = std::log(length);
-  const double weight = std::max(kGain, 1.0 / double(++b.gaps));
-  const double off = value - b.mean;
-  b.mean += weight * off;
-  b.variance = (1.0 - weight) * (b.variance + weight * off * off);
-  const double faded = b.longest * std::exp2(-seconds(now - b.longest_at) / kLongestHalves);
-  if (length >= faded) {
-    b.longest = length;
-    b.longest_at = now;
+void SilenceDetector::event(EngineId instance, Time now, Duration gap) {
+  Instance& state = instances_[instance];
+  state.last = std::max(state.last, now);
+  const double gap_s = std::max(to_seconds(gap), kShortestGapS);
+  const double log_gap = std::log(gap_s);
+  const double weight = std::max(kMinSampleWeight, 1.0 / double(++state.gaps));
+  const double deviation = log_gap - state.mean;
+  state.mean += weight * deviation;
+  state.variance = (1.0 - weight) * (state.variance + weight * deviation * deviation);
+  const double decayed_longest =
+      state.longest * std::exp2(-to_seconds(now - state.longest_at) / kLongestGapHalfLifeS);
+  if (gap_s >= decayed_longest) {
+    state.longest = gap_s;
+    state.longest_at = now;
   }
 }
 
-Duration SilenceDetector::limit(const Box& b) {
-  if (b.gaps < kLearned) return kMostSilence;
-  const double usual = std::exp(std::min(b.mean + kDeviations * std::sqrt(b.variance), 10.0));
-  const double long_one = kLongestTimes * b.longest;
-  return std::clamp(micros(std::max(usual, long_one)), kLeastSilence, kMostSilence);
+Duration SilenceDetector::limit(const Instance& state) {
+  if (state.gaps < kMinGaps) return kMaxSilence;
+  const double statistical_limit =
+      std::exp(std::min(state.mean + kDeviations * std::sqrt(state.variance), 10.0));
+  const double longest_gap_limit = kLongestGapFactor * state.longest;
+  return std::clamp(to_duration(std::max(statistical_limit, longest_gap_limit)), kMinSilence, kMaxSilence);
 }
 
-Duration SilenceDetector::limit(EngineId box) const {
-  const auto it = boxes_.find(box);
-  return it != boxes_.end() ? limit(it->second) : kMostSilence;
+Duration SilenceDetector::limit(EngineId instance) const {
+  const auto it = instances_.find(instance);
+  return it != instances_.end() ? limit(it->second) : kMaxSilence;
 }
 
-Duration SilenceDetector::judge(EngineId box, Time now, Duration silent) const {
-  if (silent >= kMostSilence) return Duration{0};
-  const auto it = boxes_.find(box);
-  if (it == boxes_.end()) return kMostSilence - silent;
+Duration SilenceDetector::judge(EngineId instance, Time now, Duration silent) const {
+  if (silent >= kMaxSilence) return Duration{0};
+  const auto it = instances_.find(instance);
+  if (it == instances_.end()) return kMaxSilence - silent;
   const Duration allowed = limit(it->second);
   if (silent < allowed) return allowed - silent;
-  // Is it this box, or all of them, or this process?
-  int writing = 0, quiet = 0;
-  for (const auto& [id, other] : boxes_) {
-    if (id == box || other.streams == 0) continue;
-    ++writing;
-    quiet += now - other.last >= limit(other);
+  // If most other instances are silent too, this process or the network is more likely at fault.
+  int streaming_instances = 0, silent_instances = 0;
+  for (const auto& [id, other] : instances_) {
+    if (id == instance || other.streams == 0) continue;
+    ++streaming_instances;
+    silent_instances += now - other.last >= limit(other);
   }
-  if (2 * quiet > writing) return kMostSilence - silent;
-  // Its other streams go on: it is one stream, and may be a pause of its own.
-  const Duration patience = std::min(micros(kOneStream * seconds(allowed)), kMostSilence);
-  const bool others_go_on = it->second.streams > 1 && now - it->second.last < allowed;
-  return others_go_on && silent < patience ? patience - silent : Duration{0};
+  if (2 * silent_instances > streaming_instances) return kMaxSilence - silent;
+  // If its other streams are active, only this stream is silent, which may be a normal pause.
+  const Duration single_stream_limit =
+      std::min(to_duration(kSingleStreamFactor * to_seconds(allowed)), kMaxSilence);
+  const bool other_streams_active = it->second.streams > 1 && now - it->second.last < allowed;
+  return other_streams_active && silent < single_stream_limit ? single_stream_limit - silent : Duration{0};
 }
 
 }  // namespace bankmux::recovery
