--- a/tests/admission_test.cpp
+++ b/tests/admission_test.cpp
@@ -1,4 +1,4 @@
-// Who may ask how much, and that a repeat never runs twice: against plain models, for whatever comes.
+// Rate limits and the idempotency ledger, partly against simple models with random operations.
 #include <rapidcheck.h>
 
 #include <catch2/catch.hpp>
@@ -9,30 +9,30 @@
 
 using namespace bankmux::admission;
 using namespace std::chrono_literals;
-using Found = Ledger::Found;
+using BeginStatus = Ledger::BeginStatus;
 
-TEST_CASE("Limiter: at the edge of a minute no more passes than a minute's worth") {
+TEST_CASE("Limiter: no more than one minute's allowance passes across a minute boundary") {
   Limiter limiter;
   const Limits limits{60, 0, 0};
   int passed = 0;
-  // All at once at the end of a minute and at the beginning of the next: fixed windows would let 120 pass.
+  // Bursts at the end of one minute and the beginning of the next: fixed windows would let 120 pass.
   for (const Time now : {Time(59'999ms), Time(60'001ms)}) {
     for (int i = 0; i < 100; ++i) passed += limiter.take(now, "t", limits, 0).limited == Limited::none;
   }
   CHECK(passed == 60);
   const Decision decision = limiter.take(60'001ms, "t", limits, 0);
   CHECK(decision.limited == Limited::requests);
-  CHECK(decision.standing.left_requests == 0);
-  // The wait that is told is worth its while, and no shorter one is.
+  CHECK(decision.limit_status.left_requests == 0);
+  // The reported wait is sufficient, and a shorter one is not.
   CHECK(limiter.take(60'001ms + decision.wait - 1ms, "t", limits, 0).limited == Limited::requests);
   CHECK(limiter.take(60'001ms + decision.wait, "t", limits, 0).limited == Limited::none);
 }
 
-TEST_CASE("Limiter: what never ran costs nothing, and a hostile usage moves nothing out of range") {
+TEST_CASE("Limiter: a request that never ran costs nothing, and absurd usage figures stay within range") {
   Limiter limiter;
   const Limits limits{0, 1000, 0};
   CHECK(limiter.take(1s, "t", limits, 400).limited == Limited::none);
-  limiter.give_back(1s, "t", limits, 400);
+  limiter.refund_request(1s, "t", limits, 400);
   CHECK(limiter.standing(1s, "t", limits).left_tokens == 1000);
   for (const Tokens used : {Tokens(-5), Tokens(1'000'000'000'000'000'000)}) {
     CHECK(limiter.take(1s, "t", limits, 400).limited == Limited::none);
@@ -42,7 +42,7 @@
   CHECK(limiter.open("t") == 0);
 }
 
-TEST_CASE("Limiter: a clock that is told backwards gives nothing away and takes nothing") {
+TEST_CASE("Limiter: a clock that goes backwards neither adds nor removes allowance") {
   Limiter limiter;
   const Limits limits{1, 0, 0};
   CHECK(limiter.take(100s, "t", limits, 0).limited == Limited::none);
@@ -51,7 +51,8 @@
   CHECK(limiter.take(160s, "t", limits, 0).limited == Limited::none);
 }
 
-TEST_CASE("Limiter: a full table turns newcomers away, not those at work, and forgets who has paid off") {
+TEST_CASE(
+    "Limiter: a full table rejects new tenants, not active ones, and drops tenants whose allowance is full") {
   Limiter limiter(100);
   const Limits limits{1, 0, 1};
   for (int i = 0; i < 100; ++i)
@@ -62,7 +63,7 @@
   CHECK(limiter.tenants() == 1);
 }
 
-TEST_CASE("Limiter: 100,000 tenants at once are counted each by itself, and more are turned away") {
+TEST_CASE("Limiter: 100,000 tenants are counted separately, and further ones are rejected") {
   Limiter limiter;
   const Limits limits{2, 0, 0};
   const auto name = [](int i) { return "tenant " + std::to_string(i); };
@@ -71,7 +72,7 @@
     for (int i = 0; i < 100'000; ++i) passed += limiter.take(1s, name(i), limits, 0).limited == Limited::none;
     CHECK(passed == (round < 2 ? 100'000 : 0));
   }
-  int turned_away = 0;  // without a look through all of them for each
+  int turned_away = 0;  // without a sweep of the table for each
   for (int i = 0; i < 100'000; ++i)
     turned_away +=
         limiter.take(1s, "new " + std::to_string(i), limits, 0).limited == Limited::too_many_tenants;
@@ -79,7 +80,7 @@
   CHECK(limiter.tenants() == 100'000);
 }
 
-TEST_CASE("Limiter: whatever is taken and given back, reservations come to nothing at rest") {
+TEST_CASE("Limiter: after random reservations and refunds nothing stays reserved") {
   CHECK(rc::check([] {
     Limiter limiter;
     const Limits limits{100, 10'000, 5};
@@ -93,53 +94,54 @@
         if (decision.limited == Limited::none) open.push_back(tokens);
         if (decision.limited == Limited::open) RC_ASSERT(open.size() == 5U);
       } else {
-        limiter.give_back(now, "t", limits, open.back());
+        limiter.refund_request(now, "t", limits, open.back());
         open.pop_back();
       }
       RC_ASSERT(limiter.open("t") == int(open.size()));
     }
-    for (const Tokens tokens : open) limiter.give_back(now, "t", limits, tokens);
+    for (const Tokens tokens : open) limiter.refund_request(now, "t", limits, tokens);
     RC_ASSERT(limiter.open("t") == 0);
     RC_ASSERT(limiter.standing(now, "t", limits).left_requests >= 99);
     RC_ASSERT(limiter.standing(now, "t", limits).left_tokens >= 9'999);
   }));
 }
 
-TEST_CASE("Ledger: a repeat waits for the first, then gets its answer, and another body is told apart") {
+TEST_CASE("Ledger: a repeat is deferred, then replayed, and another body under the same key is detected") {
   Ledger ledger({});
   const auto first = ledger.begin(1s, "t", "k", 7, true);
-  CHECK(first.found == Found::fresh);
-  for (int i = 0; i < 50; ++i) CHECK(ledger.begin(1s, "t", "k", 7, true).found == Found::open);
-  CHECK(ledger.begin(1s, "t", "k", 8, true).found == Found::other_body);
-  CHECK(ledger.begin(1s, "u", "k", 8, true).found == Found::fresh);  // another tenant's key is another key
+  CHECK(first.status == BeginStatus::fresh);
+  for (int i = 0; i < 50; ++i) CHECK(ledger.begin(1s, "t", "k", 7, true).status == BeginStatus::running);
+  CHECK(ledger.begin(1s, "t", "k", 8, true).status == BeginStatus::key_reused);
+  // Keys of different tenants are distinct.
+  CHECK(ledger.begin(1s, "u", "k", 8, true).status == BeginStatus::fresh);
   ledger.wrote(first.number);
   ledger.end(2s, first.number, true, Recorded{200, "application/json", "{}", false});
   const auto again = ledger.begin(3s, "t", "k", 7, true);
-  REQUIRE(again.found == Found::ended);
+  REQUIRE(again.status == BeginStatus::ended);
   REQUIRE(again.answer != nullptr);
   CHECK(again.answer->body == "{}");
 }
 
-TEST_CASE("Ledger: what never ran may run, what may have run never again, its answer kept or not") {
+TEST_CASE("Ledger: a request that may have run never runs again, whether or not its answer is kept") {
   Ledger ledger({10, 100, 50, 60s});
   const auto never = ledger.begin(1s, "t", "a", 1, true);
   ledger.end(1s, never.number, false, std::nullopt);
-  CHECK(ledger.begin(1s, "t", "a", 1, true).found == Found::fresh);
+  CHECK(ledger.begin(1s, "t", "a", 1, true).status == BeginStatus::fresh);
   const auto lost = ledger.begin(1s, "t", "b", 1, true);
   ledger.wrote(lost.number);
-  ledger.end(1s, lost.number, true, std::nullopt);  // its client left mid-stream
+  ledger.end(1s, lost.number, true, std::nullopt);  // its client disconnected mid-stream
   const auto large = ledger.begin(1s, "t", "c", 1, true);
   ledger.wrote(large.number);
   ledger.end(1s, large.number, true, Recorded{200, "", std::string(51, 'x'), false});
   for (const char* key : {"b", "c"}) {
     const auto again = ledger.begin(60s, "t", key, 1, true);
-    CHECK(again.found == Found::ended);
+    CHECK(again.status == BeginStatus::ended);
     CHECK(again.answer == nullptr);
   }
-  CHECK(ledger.begin(62s, "t", "b", 1, true).found == Found::fresh);  // its age is over
+  CHECK(ledger.begin(62s, "t", "b", 1, true).status == BeginStatus::fresh);  // the entry has expired
 }
 
-TEST_CASE("Ledger: full, it forgets safe ones and never one that must not run twice") {
+TEST_CASE("Ledger: when full, it evicts repeatable requests and never at-most-once ones") {
   Ledger ledger({3, 1000, 1000, 3600s});
   for (const char* key : {"a", "b"}) {
     const auto once = ledger.begin(1s, "t", key, 1, true);
@@ -149,48 +151,47 @@
   const auto safe = ledger.begin(1s, "t", "s", 1, false);
   ledger.wrote(safe.number);
   ledger.end(1s, safe.number, true, Recorded{200, "", "", false});
-  CHECK(ledger.begin(2s, "t", "c", 1, true).found == Found::fresh);
-  CHECK(ledger.begin(2s, "t", "d", 1, true).found == Found::full);
-  CHECK(ledger.begin(2s, "t", "a", 1, true).found == Found::ended);
+  CHECK(ledger.begin(2s, "t", "c", 1, true).status == BeginStatus::fresh);
+  CHECK(ledger.begin(2s, "t", "d", 1, true).status == BeginStatus::full);
+  CHECK(ledger.begin(2s, "t", "a", 1, true).status == BeginStatus::ended);
   CHECK(ledger.entries() == 3);
 }
 
-TEST_CASE("Ledger: a safe request of which no answer is kept may as well run again") {
+TEST_CASE("Ledger: a repeatable request whose answer is not kept may run again") {
   Ledger ledger({});
   const auto broken = ledger.begin(1s, "t", "a", 1, false);
   ledger.wrote(broken.number);
   ledger.end(1s, broken.number, true, std::nullopt);
-  CHECK(ledger.begin(2s, "t", "a", 1, false).found == Found::fresh);
+  CHECK(ledger.begin(2s, "t", "a", 1, false).status == BeginStatus::fresh);
   CHECK(ledger.entries() == 1);
 }
 
-TEST_CASE(
-    "Ledger: twins that are told apart by nothing share one account, so a lost one's repeat never runs") {
+TEST_CASE("Ledger: identical first tries share one entry, so a repeat of a lost one never runs") {
   Ledger ledger({});
-  // The first one is lost; a second of the same words, a first try too, then never runs.
+  // The first request is lost. An identical second one, also a first try, ends without having run.
   const auto lost = ledger.begin(1s, "t", "same", 1, true, true);
   ledger.wrote(lost.number);
   ledger.end(1s, lost.number, true, std::nullopt);
   const auto twin = ledger.begin(2s, "t", "same", 1, true, true);
-  CHECK(twin.found == Found::fresh);
-  CHECK(ledger.begin(2s, "t", "same", 1, true).found == Found::open);
+  CHECK(twin.status == BeginStatus::fresh);
+  CHECK(ledger.begin(2s, "t", "same", 1, true).status == BeginStatus::running);
   ledger.end(3s, twin.number, false, std::nullopt);
   const auto repeat = ledger.begin(4s, "t", "same", 1, true);
-  CHECK(repeat.found == Found::ended);
+  CHECK(repeat.status == BeginStatus::ended);
   CHECK(repeat.answer == nullptr);
-  // Nor does a later twin's answer pass for that of the one that was lost.
+  // The answer of a later identical request is not replayed for the lost one.
   const auto third = ledger.begin(5s, "t", "same", 1, true, true);
   ledger.end(6s, third.number, true, Recorded{200, "", "done", false});
   CHECK(ledger.begin(7s, "t", "same", 1, true).answer == nullptr);
 }
 
-TEST_CASE("Ledger: what is shown says whether it may have run") {
+TEST_CASE("Ledger: entries shown to operators say whether the request may have run") {
   Ledger ledger({});
   const auto first = ledger.begin(1s, "t", "k", 1, true);
   CHECK_FALSE(ledger.find("k").at(0).may_have_run);
   ledger.wrote(first.number);
   CHECK(ledger.find("k").at(0).may_have_run);
-  ledger.wrote(first.number, false);  // the box turned it away
+  ledger.wrote(first.number, false);  // the instance rejected it
   CHECK_FALSE(ledger.find("k").at(0).may_have_run);
   ledger.wrote(first.number);
   ledger.end(2s, first.number, true, Recorded{200, "", "{}", false});
@@ -198,7 +199,7 @@
   CHECK(ledger.find("other").empty());
 }
 
-TEST_CASE("Ledger: a random walk against a plain model: at most one run a key, bounds kept") {
+TEST_CASE("Ledger: random operations against a model: at most one run per key, limits kept") {
   CHECK(rc::check([] {
     const LedgerLimits limits{8, 60, 40, 100s};
     Ledger ledger(limits);
@@ -206,7 +207,7 @@
       bool written = false, open = true;
       Time ended{0};
     };
-    std::map<std::string, Seen> model;  // of the keys that must not run twice
+    std::map<std::string, Seen> model;  // by key; all must run at most once
     std::map<std::string, Ledger::Number> open;
     Time now = 1s;
     for (int step = 0; step < 80; ++step) {
@@ -215,16 +216,16 @@
       const int what = *rc::gen::inRange(0, 3);
       if (what == 0) {
         const auto begun = ledger.begin(now, "t", key, 1, true);
-        if (begun.found == Found::fresh) {
+        if (begun.status == BeginStatus::fresh) {
           const auto before = model.find(key);
-          // Run anew only if it never ran, or its protection is over.
+          // It may run only if it never ran or its entry has expired.
           const bool may_run =
               before == model.end() ||
               (!before->second.open && (!before->second.written || now - before->second.ended >= limits.age));
           RC_ASSERT(may_run);
           model[key] = {};
           open[key] = begun.number;
-        } else if (begun.found == Found::open) {
+        } else if (begun.status == BeginStatus::running) {
           RC_ASSERT(open.contains(key));
         }
       } else if (open.contains(key) && what == 1) {
--- a/tests/chat_properties_test.cpp
+++ b/tests/chat_properties_test.cpp
@@ -1,4 +1,4 @@
-// The pure parts of the chat front, for whatever comes: cut anywhere, made of anything.
+// Property tests of the chat API's parts without I/O, with random input that is split at random places.
 #include <rapidcheck.h>
 #include <zlib.h>
 
@@ -19,8 +19,8 @@
 
 namespace {
 
-// A text cut into pieces at drawn places.
-std::vector<std::string> cut(const std::string& text) {
+// A text split at random places.
+std::vector<std::string> random_pieces(const std::string& text) {
   std::vector<std::string> pieces;
   for (std::size_t at = 0; at < text.size();) {
     const auto size = std::size_t(*rc::gen::inRange(1, 12));
@@ -30,7 +30,7 @@
   return pieces;
 }
 
-rc::Gen<std::string> letters() {
+rc::Gen<std::string> random_text() {
   return rc::gen::container<std::string>(rc::gen::element('a', 'B', '"', ':', ' ', '\\'));
 }
 
@@ -54,10 +54,10 @@
 
 }  // namespace
 
-TEST_CASE("Events: however a stream is cut, the same whole events come, and no byte is lost") {
+TEST_CASE("Events: however a stream is split, the same complete events are delivered and no byte is lost") {
   CHECK(rc::check([] {
     const std::string end = *rc::gen::element<std::string>("\n", "\r\n", "\r");
-    const auto lines = *rc::gen::container<std::vector<std::string>>(letters());
+    const auto lines = *rc::gen::container<std::vector<std::string>>(random_text());
     std::string stream;
     std::vector<std::string> events;
     for (const std::string& line : lines) {
@@ -68,8 +68,8 @@
     sse::StreamScanner scanner, whole_scanner;
     std::string passed;
     std::size_t received = 0;
-    // Where the last event ends that is whole within so many bytes.
-    const auto whole_by = [&events](std::size_t bytes) {
+    // Offset at which the last event ends that is complete within so many bytes.
+    const auto complete_bytes = [&events](std::size_t bytes) {
       std::size_t end = 0;
       for (const std::string& event : events) {
         if (end + event.size() > bytes) break;
@@ -77,25 +77,25 @@
       }
       return end;
     };
-    for (const std::string& piece : cut(stream)) {
+    for (const std::string& piece : random_pieces(stream)) {
       RC_ASSERT(splitter.feed(piece, [&](std::string_view event) { passed += event; }));
       scanner.feed(piece);
       received += piece.size();
-      // What has been passed is each event that is whole by now, but for the LF of the last CRLF.
-      const std::size_t whole = whole_by(received);
+      // All events that are complete by now have been delivered, except perhaps the LF of the last CRLF.
+      const std::size_t whole = complete_bytes(received);
       RC_ASSERT((passed.size() == whole || passed.size() + 1 == whole ||
-                 passed.size() == whole_by(received + 1) - 1));
+                 passed.size() == complete_bytes(received + 1) - 1));
       RC_ASSERT(stream.starts_with(passed));
       RC_ASSERT((passed.empty() || passed.back() == '\n' || passed.back() == '\r'));
     }
     whole_scanner.feed(stream);
     RC_ASSERT(scanner.done() == whole_scanner.done());
     RC_ASSERT(scanner.failed() == whole_scanner.failed());
-    RC_ASSERT(passed.size() + 1 >= stream.size());  // at most the LF of the last CRLF waits
+    RC_ASSERT(passed.size() + 1 >= stream.size());  // at most the LF of the last CRLF is missing
   }));
 }
 
-TEST_CASE("Events: one that is longer than may be is told, at once and for good") {
+TEST_CASE("Events: an event above the limit is reported at once, and all further input is refused") {
   sse::EventSplitter splitter(10);
   int events = 0;
   const auto count = [&](std::string_view) { ++events; };
@@ -105,7 +105,7 @@
   CHECK(events == 1);
 }
 
-TEST_CASE("Codings: what was packed comes out as it was, and what is cut short is told") {
+TEST_CASE("Content codings: compressed text is restored exactly, and truncated input is detected") {
   CHECK(rc::check([](const std::string& text) {
     const std::string packed = gzip(text);
     const net::Expanded whole = net::expand("gzip", packed, 1 << 20);
@@ -118,7 +118,7 @@
   }));
 }
 
-TEST_CASE("Requests: whatever bytes come, they are an object or an error that says so") {
+TEST_CASE("Requests: any bytes give a JSON object or an error with a message") {
   CHECK(rc::check([] {
     const auto text = *rc::gen::container<std::string>(rc::gen::element(
         '{', '}', '[', ']', '"', ',', ':', '1', '-', 'e', '.', 'a', '\\', 'u', 'd', '8', '\xff', '\n'));
@@ -131,7 +131,7 @@
   }));
 }
 
-TEST_CASE("Requests: whatever stands in a field, the rules pass it or name that field") {
+TEST_CASE("Requests: for any value of a field the rules accept it or name that field") {
   const json good = {{"model", "m"}, {"messages", {{{"role", "user"}, {"content", "x"}}}}};
   const std::vector<std::string> fields = {
       "n",     "stop",     "tools",  "messages", "response_format", "logit_bias",
@@ -153,12 +153,12 @@
     }
     RC_ASSERT(path.empty());
   }));
-  CHECK(refused > 0);  // rules that pass everything would pass the rest
+  CHECK(refused > 0);  // rules that accept everything would also pass the checks above
 }
 
-TEST_CASE("Responses: a stream comes to the same response as the same answer in one piece") {
+TEST_CASE("Responses: a stream gives the same response as the same answer in one piece") {
   CHECK(rc::check([] {
-    const auto texts = *rc::gen::container<std::vector<std::string>>(letters());
+    const auto texts = *rc::gen::container<std::vector<std::string>>(random_text());
     const int calls = *rc::gen::inRange(0, 3);
     const std::string reason =
         *rc::gen::element<std::string>("stop", "length", "tool_calls", "content_filter");
@@ -207,7 +207,7 @@
   }));
 }
 
-TEST_CASE("Endings: a library is told to try again only where that is harmless, and no word is untrue") {
+TEST_CASE("Error replies: a retry is advised only if it is harmless, and the message is true") {
   using core::Ending;
   using eiderarch::Outcome;
   for (const auto cause : {Ending::Cause::refused, Ending::Cause::table_full, Ending::Cause::no_decision,
@@ -216,16 +216,17 @@
       for (const bool safe : {false, true}) {
         for (const auto last :
              {Outcome::skipped, Outcome::error, Outcome::timed_out, Outcome::reset, Outcome::busy}) {
-          const net::openai::Told told = net::openai::tell({cause, ran, safe, {}, false, last});
-          const bool broke = cause == Ending::Cause::broke_off;
-          CHECK(told.should_retry == (!ran || safe));
-          CHECK((told.wait.count() > 0) == told.should_retry);
-          CHECK(told.status >= 500);
-          if (ran || broke) CHECK(std::string(told.message).find("nothing was run") == std::string::npos);
-          CHECK((told.status == 503) == (!ran && !broke && cause != Ending::Cause::no_decision));
+          const net::openai::ErrorReply reply = net::openai::error_reply({cause, ran, safe, {}, false, last});
+          const bool broke_off = cause == Ending::Cause::broke_off;
+          CHECK(reply.should_retry == (!ran || safe));
+          CHECK((reply.wait.count() > 0) == reply.should_retry);
+          CHECK(reply.status >= 500);
+          if (ran || broke_off)
+            CHECK(std::string(reply.message).find("nothing was run") == std::string::npos);
+          CHECK((reply.status == 503) == (!ran && !broke_off && cause != Ending::Cause::no_decision));
           net::Headers headers;
-          net::openai::add_retry_headers(headers, told.should_retry, told.wait);
-          CHECK(headers.size() == (told.should_retry ? 3 : 1));
+          net::openai::add_retry_headers(headers, reply.should_retry, reply.wait);
+          CHECK(headers.size() == (reply.should_retry ? 3 : 1));
         }
       }
     }
--- a/tests/door_test.cpp
+++ b/tests/door_test.cpp
@@ -1,4 +1,5 @@
-// The door whole: keys, limits, shares and the ledger together, without a wire.
+// Admission control as a whole: API keys, rate limits, tenant shares and the ledger together, without
+// sockets.
 #include "admission/door.hpp"
 
 #include <rapidcheck.h>
@@ -23,56 +24,57 @@
 
 const std::string kSecret(2 * kSecretBytes, 'a');
 
-Key key(const std::string& id, const std::string& tenant, Limits limits = {}) {
+Key make_key(const std::string& id, const std::string& tenant, Limits limits = {}) {
   Key made{id, tenant, {}, limits, {}, {}};
   made.salt.fill(static_cast<unsigned char>(id.front()));
   made.hash = hash_secret(made.salt, kSecret);
   return made;
 }
 
-const std::string kOne = "00000000000a", kTwo = "00000000000b";
+const std::string kFirstId = "00000000000a", kSecondId = "00000000000b";
 
-Door door_of(std::vector<Key> keys, DoorLimits limits = {}) {
+Door make_door(std::vector<Key> keys, DoorLimits limits = {}) {
   Door door(limits);
   door.keys(KeyRing(std::move(keys)));
   return door;
 }
 
-Knock ajuste(const std::string& idempotency, std::uint64_t digest = 1) {
-  Knock knock;
-  knock.once = true;
-  knock.reserve = 100;
-  knock.key = idempotency;
-  knock.digest = digest;
-  return knock;
+AdmissionRequest at_most_once_request(const std::string& idempotency, std::uint64_t digest = 1) {
+  AdmissionRequest request;
+  request.at_most_once = true;
+  request.reserved_tokens = 100;
+  request.idempotency_key = idempotency;
+  request.digest = digest;
+  return request;
 }
 
 }  // namespace
 
-TEST_CASE("Keys: one is known by its ID and its secret, and anything else is not") {
-  const KeyRing ring({key(kOne, "norte"), key(kTwo, "sur")});
-  REQUIRE(ring.check(join_key(kTwo, kSecret)) != nullptr);
-  CHECK(ring.check(join_key(kTwo, kSecret))->tenant == "sur");
+TEST_CASE("Keys: a key is accepted only with a known ID and its exact secret") {
+  const KeyRing ring({make_key(kFirstId, "norte"), make_key(kSecondId, "sur")});
+  REQUIRE(ring.check(join_key(kSecondId, kSecret)) != nullptr);
+  CHECK(ring.check(join_key(kSecondId, kSecret))->tenant == "sur");
   std::string wrong = kSecret;
   wrong.back() = 'b';
   for (const std::string& text :
-       {join_key(kTwo, wrong), join_key("00000000000c", kSecret), std::string(), std::string("bmx-"),
-        join_key(kTwo, kSecret) + "a", join_key(kTwo, kSecret).substr(1), std::string(100'000, 'x'),
-        "BMX-" + kTwo + "-" + kSecret}) {
+       {join_key(kSecondId, wrong), join_key("00000000000c", kSecret), std::string(), std::string("bmx-"),
+        join_key(kSecondId, kSecret) + "a", join_key(kSecondId, kSecret).substr(1), std::string(100'000, 'x'),
+        "BMX-" + kSecondId + "-" + kSecret}) {
     CHECK(ring.check(text) == nullptr);
   }
-  CHECK_THROWS_WITH(KeyRing({key(kOne, "a"), key(kOne, "b")}), Catch::Contains(kOne));
+  CHECK_THROWS_WITH(KeyRing({make_key(kFirstId, "a"), make_key(kFirstId, "b")}), Catch::Contains(kFirstId));
 }
 
-TEST_CASE("Keys: the same secret under two salts has two hashes, and none holds the secret") {
-  CHECK(key(kOne, "t").hash != key("100000000000", "t").hash);
-  const std::string file = config::keys_json({key(kOne, "t")}).dump();
+TEST_CASE(
+    "Keys: the same secret with two salts has two hashes, and the key file does not contain the secret") {
+  CHECK(make_key(kFirstId, "t").hash != make_key("100000000000", "t").hash);
+  const std::string file = config::keys_json({make_key(kFirstId, "t")}).dump();
   CHECK(file.find(kSecret) == std::string::npos);
 }
 
-TEST_CASE("Key file: written for its owner alone, read back the same, refused where others may read it") {
+TEST_CASE("Key file: written with mode 0600, read back unchanged, and refused if others can read it") {
   const std::string path = "keys-" + std::to_string(::getpid()) + ".json";
-  Key made = key(kOne, "norte", {60, 10'000, 4});
+  Key made = make_key(kFirstId, "norte", {60, 10'000, 4});
   made.models = {"consulta"};
   config::write_keys(path, {made});
   struct stat status {};
@@ -91,11 +93,11 @@
   std::remove(path.c_str());
 }
 
-TEST_CASE("Tenants reach the module in order, with what their keys allow together, and no limit is none") {
+TEST_CASE("Tenants: passed in order with the sum of their keys' quotas, and unlimited if any key is") {
   config::Appliance appliance;
   config::set_keys(appliance,
-                   {key("000000000001", "sur", {60, 0, 0}), key("000000000002", "sur", {120, 0, 0}),
-                    key("000000000003", "norte", {60, 0, 0}), key("000000000004", "norte")});
+                   {make_key("000000000001", "sur", {60, 0, 0}), make_key("000000000002", "sur", {120, 0, 0}),
+                    make_key("000000000003", "norte", {60, 0, 0}), make_key("000000000004", "norte")});
   REQUIRE(appliance.tenants == std::vector<std::string>{"norte", "sur"});
   CHECK(appliance.module.tenants[0].quota_per_second == 0.0);
   CHECK(appliance.module.tenants[1].quota_per_second == Approx(3.0));
@@ -103,114 +105,119 @@
   CHECK(appliance.tenant_number("later") == 2);
 }
 
-TEST_CASE("Share: a flood leaves a place for who comes next, however many flood") {
-  for (const std::size_t floods : {1U, 2U, 5U}) {
-    const std::size_t most = 100;
-    std::vector<std::size_t> held(floods, 0);
-    std::size_t all = 0;
+TEST_CASE("Share: tenants that flood the table leave a slot for a new tenant, however many flood it") {
+  for (const std::size_t flooding_tenants : {1U, 2U, 5U}) {
+    const std::size_t capacity = 100;
+    std::vector<std::size_t> used(flooding_tenants, 0);
+    std::size_t total = 0;
     for (int round = 0; round < 200; ++round) {
-      for (std::size_t& own : held) {
-        if (!may_hold(own, {most, all, floods})) continue;
-        ++own;
-        ++all;
+      for (std::size_t& used_by_one : used) {
+        if (!may_take_slot(used_by_one, {capacity, total, flooding_tenants})) continue;
+        ++used_by_one;
+        ++total;
       }
     }
-    CHECK(all >= most / 2);
-    CHECK(all < most);
-    CHECK(may_hold(0, {most, all, floods + 1}));
+    CHECK(total >= capacity / 2);
+    CHECK(total < capacity);
+    CHECK(may_take_slot(0, {capacity, total, flooding_tenants + 1}));
   }
 }
 
-TEST_CASE(
-    "Door: a limited key hears when to return, and what is turned away costs nothing, and others go on") {
-  Door door = door_of({key(kOne, "norte", {2, 1000, 0}), key(kTwo, "sur")});
-  const Caller norte = *door.identify(join_key(kOne, kSecret)), sur = *door.identify(join_key(kTwo, kSecret));
-  Knock knock;
-  knock.reserve = 600;
-  const Pass first = door.knock(1s, norte, knock);
-  CHECK(first.entry == Entry::admit);
-  const Pass tokens = door.knock(1s, norte, knock);
-  CHECK(tokens.entry == Entry::limited);
+TEST_CASE("Admission control: a rate-limited key gets a wait, and a rejected request costs nothing") {
+  Door door = make_door({make_key(kFirstId, "norte", {2, 1000, 0}), make_key(kSecondId, "sur")});
+  const Caller norte = *door.identify(join_key(kFirstId, kSecret)),
+               sur = *door.identify(join_key(kSecondId, kSecret));
+  AdmissionRequest request;
+  request.reserved_tokens = 600;
+  const AdmissionResult first = door.admit(1s, norte, request);
+  CHECK(first.status == AdmissionStatus::admitted);
+  const AdmissionResult tokens = door.admit(1s, norte, request);
+  CHECK(tokens.status == AdmissionStatus::limited);
   CHECK(tokens.limited == Limited::tokens);
   CHECK(tokens.wait > 0s);
-  CHECK(tokens.standing.left_tokens == 400);
-  knock.reserve = 10;
-  CHECK(door.knock(1s, norte, knock).entry == Entry::admit);
-  const Pass requests = door.knock(1s, norte, knock);
+  CHECK(tokens.limit_status.left_tokens == 400);
+  request.reserved_tokens = 10;
+  CHECK(door.admit(1s, norte, request).status == AdmissionStatus::admitted);
+  const AdmissionResult requests = door.admit(1s, norte, request);
   CHECK(requests.limited == Limited::requests);
-  CHECK(door.knock(1s, sur, knock).entry == Entry::admit);
-  // The first never ran: a request and its tokens are there again.
-  door.ended(1s, first.ticket, {});
-  CHECK(door.knock(1s, norte, knock).entry == Entry::admit);
+  CHECK(door.admit(1s, sur, request).status == AdmissionStatus::admitted);
+  // The first request never ran, so its request and its tokens are refunded.
+  door.request_ended(1s, first.ticket, {});
+  CHECK(door.admit(1s, norte, request).status == AdmissionStatus::admitted);
   CHECK(door.tenants().at("norte").limited == 2);
 }
 
-TEST_CASE("Door: one tenant's flood is held to its part of the table, and a newcomer is let in") {
+TEST_CASE("Admission control: a flooding tenant is held to its share, and a new tenant is admitted") {
   DoorLimits limits;
-  limits.most_open = 20;
-  Door door = door_of({key(kOne, "norte"), key(kTwo, "sur")}, limits);
-  const Caller norte = *door.identify(join_key(kOne, kSecret)), sur = *door.identify(join_key(kTwo, kSecret));
+  limits.max_open_requests = 20;
+  Door door = make_door({make_key(kFirstId, "norte"), make_key(kSecondId, "sur")}, limits);
+  const Caller norte = *door.identify(join_key(kFirstId, kSecret)),
+               sur = *door.identify(join_key(kSecondId, kSecret));
   int admitted = 0;
-  for (int i = 0; i < 100; ++i) admitted += door.knock(1s, norte, {}).entry == Entry::admit;
+  for (int i = 0; i < 100; ++i) admitted += door.admit(1s, norte, {}).status == AdmissionStatus::admitted;
   CHECK(admitted == 15);
-  CHECK(door.knock(1s, norte, {}).entry == Entry::over_share);
-  // The newcomer, under its share, comes before the flood goes on.
-  for (int i = 0; i < 4; ++i) CHECK(door.knock(1s, sur, {}).entry == Entry::admit);
-  CHECK(door.knock(1s, norte, {}).entry == Entry::over_share);
+  CHECK(door.admit(1s, norte, {}).status == AdmissionStatus::over_share);
+  // The new tenant is below its share and is admitted; the flooding tenant still is not.
+  for (int i = 0; i < 4; ++i) CHECK(door.admit(1s, sur, {}).status == AdmissionStatus::admitted);
+  CHECK(door.admit(1s, norte, {}).status == AdmissionStatus::over_share);
 }
 
-TEST_CASE("Door: a repeat is held off, answered or told that the outcome is unknown, and never runs") {
-  Door door = door_of({key(kOne, "norte", {0, 0, 1}), key(kTwo, "sur")});
-  const Caller norte = *door.identify(join_key(kOne, kSecret)), sur = *door.identify(join_key(kTwo, kSecret));
-  const Pass first = door.knock(1s, norte, ajuste("k"));
-  REQUIRE(first.entry == Entry::admit);
-  door.sent(first.ticket);
-  for (int i = 0; i < 50; ++i) CHECK(door.knock(1s, norte, ajuste("k")).entry == Entry::in_progress);
-  CHECK(door.knock(1s, norte, ajuste("k", 2)).entry == Entry::other_body);
-  CHECK(door.knock(1s, sur, ajuste("k", 2)).entry == Entry::admit);  // another tenant's key is another
-  door.ended(2s, first.ticket, {true, 80, 200, Recorded{200, "application/json", "{}", false}});
-  const Pass again = door.knock(3s, norte, ajuste("k"));
-  CHECK(again.entry == Entry::replay);
+TEST_CASE(
+    "Admission control: a repeat is deferred, replayed or reported as outcome unknown, and never runs") {
+  Door door = make_door({make_key(kFirstId, "norte", {0, 0, 1}), make_key(kSecondId, "sur")});
+  const Caller norte = *door.identify(join_key(kFirstId, kSecret)),
+               sur = *door.identify(join_key(kSecondId, kSecret));
+  const AdmissionResult first = door.admit(1s, norte, at_most_once_request("k"));
+  REQUIRE(first.status == AdmissionStatus::admitted);
+  door.record_attempt(first.ticket);
+  for (int i = 0; i < 50; ++i)
+    CHECK(door.admit(1s, norte, at_most_once_request("k")).status == AdmissionStatus::in_progress);
+  CHECK(door.admit(1s, norte, at_most_once_request("k", 2)).status == AdmissionStatus::key_reused);
+  // Keys of different tenants are distinct.
+  CHECK(door.admit(1s, sur, at_most_once_request("k", 2)).status == AdmissionStatus::admitted);
+  door.request_ended(2s, first.ticket, {true, 80, 200, Recorded{200, "application/json", "{}", false}});
+  const AdmissionResult again = door.admit(3s, norte, at_most_once_request("k"));
+  CHECK(again.status == AdmissionStatus::replay);
   REQUIRE(again.answer != nullptr);
-  const Pass left = door.knock(4s, norte, ajuste("left mid-stream"));
-  door.sent(left.ticket);
-  door.ended(4s, left.ticket, {true, std::nullopt, 200, std::nullopt});
-  const Pass unknown = door.knock(5s, norte, ajuste("left mid-stream"));
-  CHECK(unknown.entry == Entry::replay);
+  const AdmissionResult left = door.admit(4s, norte, at_most_once_request("left mid-stream"));
+  door.record_attempt(left.ticket);
+  door.request_ended(4s, left.ticket, {true, std::nullopt, 200, std::nullopt});
+  const AdmissionResult unknown = door.admit(5s, norte, at_most_once_request("left mid-stream"));
+  CHECK(unknown.status == AdmissionStatus::replay);
   CHECK(unknown.answer == nullptr);
 }
 
-TEST_CASE("Door: a first try without a key always runs, its marked repeat never does") {
+TEST_CASE("Admission control: a first try without a key always runs, and its marked retry never does") {
   Door door({});
-  Knock knock = ajuste("");
-  knock.session = 7;
-  const Pass one = door.knock(1s, {}, knock), two = door.knock(1s, {}, knock);
-  CHECK(one.entry == Entry::admit);
-  CHECK(two.entry == Entry::admit);
-  door.ended(1s, one.ticket, {true, std::nullopt, 0, std::nullopt});
-  knock.retry = 1;
-  CHECK(door.knock(2s, {}, knock).entry == Entry::in_progress);
-  door.ended(3s, two.ticket, {});
-  CHECK(door.knock(4s, {}, knock).entry == Entry::replay);
-  knock.digest = 2;  // other words: nothing is known of them
-  CHECK(door.knock(4s, {}, knock).entry == Entry::admit);
+  AdmissionRequest request = at_most_once_request("");
+  request.session = 7;
+  const AdmissionResult one = door.admit(1s, {}, request), two = door.admit(1s, {}, request);
+  CHECK(one.status == AdmissionStatus::admitted);
+  CHECK(two.status == AdmissionStatus::admitted);
+  door.request_ended(1s, one.ticket, {true, std::nullopt, 0, std::nullopt});
+  request.retry_count = 1;
+  CHECK(door.admit(2s, {}, request).status == AdmissionStatus::in_progress);
+  door.request_ended(3s, two.ticket, {});
+  CHECK(door.admit(4s, {}, request).status == AdmissionStatus::replay);
+  request.digest = 2;  // a different body has no ledger entry
+  CHECK(door.admit(4s, {}, request).status == AdmissionStatus::admitted);
 }
 
-TEST_CASE("Door: a full ledger refuses who asks for protection, where running twice would do harm") {
+TEST_CASE("Admission control: a full ledger rejects an at-most-once request that has a key") {
   DoorLimits limits;
   limits.ledger.entries = 1;
   Door door(limits);
-  CHECK(door.knock(1s, {}, ajuste("a")).entry == Entry::admit);
-  CHECK(door.knock(1s, {}, ajuste("b")).entry == Entry::unprotected);
-  Knock safe;
-  safe.key = "c";
-  CHECK(door.knock(1s, {}, safe).entry == Entry::admit);
+  CHECK(door.admit(1s, {}, at_most_once_request("a")).status == AdmissionStatus::admitted);
+  CHECK(door.admit(1s, {}, at_most_once_request("b")).status == AdmissionStatus::ledger_full);
+  AdmissionRequest safe;
+  safe.idempotency_key = "c";
+  CHECK(door.admit(1s, {}, safe).status == AdmissionStatus::admitted);
   CHECK(door.ledger().entries() == 1);
 }
 
-TEST_CASE("Door: a box's usage may be missing, absurd or far above the estimate, and settles within bounds") {
-  Door door = door_of({key(kOne, "norte", {0, 1000, 0})});
-  const Caller norte = *door.identify(join_key(kOne, kSecret));
+TEST_CASE("Admission control: a missing, absurd or excessive usage figure is settled within bounds") {
+  Door door = make_door({make_key(kFirstId, "norte", {0, 1000, 0})});
+  const Caller norte = *door.identify(join_key(kFirstId, kSecret));
   struct Case {
     std::optional<Tokens> used;
     std::int64_t left;
@@ -219,93 +226,98 @@
   for (const Case& c :
        {Case{std::nullopt, 900}, Case{-5, 1000}, Case{1'000'000'000'000'000'000, 500}, Case{300, 700}}) {
     now += 10min;
-    const Pass pass = door.knock(now, norte, ajuste(""));
-    REQUIRE(pass.entry == Entry::admit);
-    door.ended(now, pass.ticket, {true, c.used, 500, std::nullopt});
-    CHECK(door.limiter().standing(now, kOne, norte.key->limits).left_tokens == c.left);
+    const AdmissionResult result = door.admit(now, norte, at_most_once_request(""));
+    REQUIRE(result.status == AdmissionStatus::admitted);
+    door.request_ended(now, result.ticket, {true, c.used, 500, std::nullopt});
+    CHECK(door.limiter().standing(now, kFirstId, norte.key->limits).left_tokens == c.left);
   }
-  using net::openai::usage_in;
-  CHECK(usage_in(R"({"usage":{"prompt_tokens":10,"completion_tokens":5}})") == 15);
-  CHECK(usage_in(
+  using net::openai::find_usage;
+  CHECK(find_usage(R"({"usage":{"prompt_tokens":10,"completion_tokens":5}})") == 15);
+  CHECK(find_usage(
             R"({"type":"response.completed","response":{"usage":{"input_tokens":1,"output_tokens":2}}})") ==
         3);
-  CHECK(usage_in(R"({"c":["a \"usage\": {"], "usage" : {"d":{"x":"}\""},"total_tokens":7}, "x":1})") == 7);
+  CHECK(find_usage(R"({"c":["a \"usage\": {"], "usage" : {"d":{"x":"}\""},"total_tokens":7}, "x":1})") == 7);
   for (const char* none :
        {"", "[]", R"(usage")", R"({"usage":{"total_tokens":3)", R"({"x":"usage"})", R"({"usage":null})",
         R"({"usage":{"prompt_tokens":-1,"completion_tokens":5}})",
         R"({"usage":{"prompt_tokens":"9","completion_tokens":1}})", R"({"usage":{"total_tokens":-3}})"}) {
-    CHECK_FALSE(usage_in(none).has_value());
+    CHECK_FALSE(find_usage(none).has_value());
   }
-  CHECK(usage_in(R"({"usage":{"prompt_tokens":1e300,"completion_tokens":1}})") == Tokens(1e15) + 1);
+  CHECK(find_usage(R"({"usage":{"prompt_tokens":1e300,"completion_tokens":1}})") == Tokens(1e15) + 1);
 }
 
-TEST_CASE("Door: limits that change while a request runs give back what was taken, no more") {
-  Door door = door_of({key(kOne, "norte", {0, 1000, 0})});
-  const Pass pass = door.knock(1s, *door.identify(join_key(kOne, kSecret)), ajuste(""));
+TEST_CASE("Admission control: limits that change while a request runs refund what was charged and no more") {
+  Door door = make_door({make_key(kFirstId, "norte", {0, 1000, 0})});
+  const AdmissionResult result =
+      door.admit(1s, *door.identify(join_key(kFirstId, kSecret)), at_most_once_request(""));
   const Limits later{0, 2000, 0};
-  door.keys(KeyRing({key(kOne, "norte", later)}));
-  door.ended(1s, pass.ticket, {});
-  CHECK(door.limiter().standing(1s, kOne, later).left_tokens == 2000);
-  // And one whose key is gone ends as it would.
-  const Pass gone = door.knock(1s, *door.identify(join_key(kOne, kSecret)), ajuste("k"));
-  door.sent(gone.ticket);
-  door.keys(KeyRing({key(kTwo, "sur")}));
-  CHECK_FALSE(door.identify(join_key(kOne, kSecret)).has_value());
-  door.ended(2s, gone.ticket, {true, 10, 100, Recorded{200, "", "x", false}});
-  CHECK(door.limiter().open(kOne) == 0);
+  door.keys(KeyRing({make_key(kFirstId, "norte", later)}));
+  door.request_ended(1s, result.ticket, {});
+  CHECK(door.limiter().standing(1s, kFirstId, later).left_tokens == 2000);
+  // A request whose key has been revoked meanwhile ends normally.
+  const AdmissionResult gone =
+      door.admit(1s, *door.identify(join_key(kFirstId, kSecret)), at_most_once_request("k"));
+  door.record_attempt(gone.ticket);
+  door.keys(KeyRing({make_key(kSecondId, "sur")}));
+  CHECK_FALSE(door.identify(join_key(kFirstId, kSecret)).has_value());
+  door.request_ended(2s, gone.ticket, {true, 10, 100, Recorded{200, "", "x", false}});
+  CHECK(door.limiter().open(kFirstId) == 0);
 }
 
-TEST_CASE("Door: a random walk against a plain model: one run a key, and nothing reserved at rest") {
+TEST_CASE(
+    "Admission control: random operations against a model: one run per key, nothing reserved at the end") {
   CHECK(rc::check([] {
     DoorLimits limits;
     limits.ledger = {6, 100, 50, 1000s};
-    limits.most_open = 8;
+    limits.max_open_requests = 8;
     const Limits each{1000, 50'000, 6};
-    Door door = door_of({key(kOne, "norte", each), key(kTwo, "sur", each)}, limits);
+    Door door = make_door({make_key(kFirstId, "norte", each), make_key(kSecondId, "sur", each)}, limits);
     struct Open {
       Ticket ticket;
       std::string key;
       bool sent = false;
     };
     std::vector<Open> open;
-    std::map<std::string, bool> may_have_run;  // by tenant and key; an open one holds the key
+    std::map<std::string, bool> may_have_run;  // by tenant and key; an open request holds the key
     Time now = 1s;
     for (int step = 0; step < 100; ++step) {
       now += Duration(*rc::gen::inRange(0, 1'000'000));
       const int what = *rc::gen::inRange(0, 4);
       if (what <= 1 || open.empty()) {
-        const std::string& id = *rc::gen::arbitrary<bool>() ? kOne : kTwo;
+        const std::string& id = *rc::gen::arbitrary<bool>() ? kFirstId : kSecondId;
         const std::string name(1, char('a' + *rc::gen::inRange(0, 6)));
-        const Pass pass = door.knock(now, *door.identify(join_key(id, kSecret)), ajuste(name));
+        const AdmissionResult result =
+            door.admit(now, *door.identify(join_key(id, kSecret)), at_most_once_request(name));
         const std::string whole = id + name;
-        if (pass.entry == Entry::admit) {
+        if (result.status == AdmissionStatus::admitted) {
           RC_ASSERT(!may_have_run[whole]);
           for (const Open& other : open) RC_ASSERT(other.key != whole);
-          open.push_back({pass.ticket, whole});
-        } else if (pass.entry == Entry::replay) {
+          open.push_back({result.ticket, whole});
+        } else if (result.status == AdmissionStatus::replay) {
           RC_ASSERT(may_have_run[whole]);
         }
       } else {
         const auto at = std::size_t(*rc::gen::inRange(0, int(open.size())));
         Open& one = open[at];
         if (what == 2) {
-          one.sent = !one.sent;  // sent, or turned away by its box
-          door.sent(one.ticket, one.sent);
+          one.sent = !one.sent;  // sent, or rejected by its instance
+          door.record_attempt(one.ticket, one.sent);
         } else {
           std::optional<Recorded> answer;
           if (one.sent && *rc::gen::arbitrary<bool>())
             answer = Recorded{200, "", std::string(40, 'x'), false};
           may_have_run[one.key] = one.sent;
-          door.ended(now, one.ticket, {one.sent, *rc::gen::inRange<Tokens>(-10, 10'000), 150, answer});
+          door.request_ended(now, one.ticket,
+                             {one.sent, *rc::gen::inRange<Tokens>(-10, 10'000), 150, answer});
           open.erase(open.begin() + std::ptrdiff_t(at));
         }
       }
-      RC_ASSERT(open.size() <= limits.most_open);
+      RC_ASSERT(open.size() <= limits.max_open_requests);
       RC_ASSERT(door.ledger().entries() <= limits.ledger.entries);
     }
-    for (const Open& one : open) door.ended(now, one.ticket, {});
+    for (const Open& one : open) door.request_ended(now, one.ticket, {});
     now += 10min;
-    for (const std::string& id : {kOne, kTwo}) {
+    for (const std::string& id : {kFirstId, kSecondId}) {
       RC_ASSERT(door.limiter().open(id) == 0);
       RC_ASSERT(door.limiter().standing(now, id, each).left_tokens == each.tokens_per_minute);
     }
@@ -313,7 +325,7 @@
   }));
 }
 
-TEST_CASE("Door answers: what a client's library reads") {
+TEST_CASE("Admission control: the headers and codes that client libraries read") {
   using namespace net::openai;
   CHECK(reset_text(0s) == "0ms");
   CHECK(reset_text(350ms) == "350ms");
@@ -326,8 +338,8 @@
        {std::string(), std::string("a b"), std::string(256, 'x'), std::string("\xc3\xb1")}) {
     CHECK_THROWS_AS(idempotency_key({{"Idempotency-Key", bad}}), RequestError);
   }
-  Pass pass;
-  pass.entry = Entry::replay;
-  CHECK(std::string(tell(pass).code) == "outcome_unknown");
-  CHECK_FALSE(tell(pass).should_retry);
+  AdmissionResult result;
+  result.status = AdmissionStatus::replay;
+  CHECK(std::string(error_reply(result).code) == "outcome_unknown");
+  CHECK_FALSE(error_reply(result).should_retry);
 }
