--- a/tests/conformance/main.cpp
+++ b/tests/conformance/main.cpp
@@ -1,7 +1,7 @@
-// The conformance suite of the chat front: cases as data (request, what the boxes do, expected answer)
-// against the program over sockets. `bankmux_conformance [FOLDER] [NAME]` runs the sections of a folder, or
-// those cases whose name holds NAME, and prints a table. tests/conformance/README.md says how a case is
-// written.
+// The conformance suite of the chat API. Its cases are data (request, behaviour of the instances, expected
+// answer) and run against the program over sockets. `bankmux_conformance [FOLDER] [NAME]` runs the sections
+// of a folder, or those cases whose name contains NAME, and prints a table. tests/conformance/README.md
+// describes the format of a case.
 #include <algorithm>
 #include <chrono>
 #include <cstdio>
@@ -18,12 +18,13 @@
 
 namespace {
 
-// ---- Boxes ----
+// ---- Instances ----
 
-// What both boxes do: the script's steps, one for each attempt; the last one again and again.
-class Boxes {
+// Two instances that follow one script: one step for each attempt, and the last step for all further ones.
+class ScriptedInstances {
  public:
-  Boxes() : one_([this](Wire& wire) { serve(wire); }), two_([this](Wire& wire) { serve(wire); }) {}
+  ScriptedInstances()
+      : one_([this](Wire& wire) { serve(wire); }), two_([this](Wire& wire) { serve(wire); }) {}
   [[nodiscard]] std::vector<std::string> addresses() const { return {one_.address(), two_.address()}; }
   void begin(const json& script) {
     const std::lock_guard lock(mutex_);
@@ -36,7 +37,7 @@
   }
 
  private:
-  json next(const Message& request) {
+  json next_step(const Message& request) {
     const std::lock_guard lock(mutex_);
     requests_.push_back(request);
     if (script_.empty()) return {{"status", 500}, {"body", "no script"}};
@@ -46,7 +47,7 @@
     while (const auto request = wire.receive()) {
       if (request->first.starts_with("GET ")) {
         wire.send("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}");
-      } else if (!answer(wire, next(*request))) {
+      } else if (!answer(wire, next_step(*request))) {
         return;
       }
     }
@@ -56,7 +57,7 @@
     std::snprintf(size, sizeof size, "%zx\r\n", bytes.size());
     return size + bytes + "\r\n";
   }
-  // False where the connection ends with it.
+  // False if the connection ends with the answer.
   static bool answer(Wire& wire, const json& step) {
     if (step.value("silent", false)) return wire.closed_within(10'000) && false;
     const bool stream = step.contains("events") || step.contains("pieces");
@@ -87,7 +88,7 @@
     if (end == "silent") return wire.closed_within(10'000) && false;
     if (end == "reset") {
       std::this_thread::sleep_for(
-          std::chrono::milliseconds(200));  // a reset throws away what was not read yet
+          std::chrono::milliseconds(200));  // a reset discards data that the peer has not read yet
       wire.reset();
     }
     return end == "clean";
@@ -101,16 +102,16 @@
 
 // ---- The program ----
 
-struct Answer {
+struct Response {
   Message head;
-  std::string body;  // without its chunks
+  std::string body;  // without chunk framing
   bool whole = false;
-  std::string rest;  // behind the answer
+  std::string trailing;  // bytes after the answer
 };
 
 class Appliance {
  public:
-  Appliance(const Boxes& boxes, const json& changes) {
+  Appliance(const ScriptedInstances& instances, const json& changes) {
     json file = {{"listen", address_},
                  {"check_every_s", 0.2},
                  {"max_attempts", 3},
@@ -130,7 +131,7 @@
                    {{"name", "m-ajuste"}, {"class", "ajuste"}},
                    {{"name", "m-native"}, {"class", "consulta"}, {"responses", "native"}}}},
                  {"boxes", json::array()}};
-    for (const std::string& address : boxes.addresses()) {
+    for (const std::string& address : instances.addresses()) {
       file["boxes"].push_back({{"id", "b" + std::to_string(file["boxes"].size() + 1)}, {"address", address}});
     }
     file.merge_patch(changes);
@@ -146,8 +147,8 @@
   std::unique_ptr<Program> program_;
 };
 
-Answer read_answer(const std::string& text) {
-  Answer answer;
+Response read_response(const std::string& text) {
+  Response answer;
   const std::size_t end = text.find("\r\n\r\n");
   if (end == std::string::npos) return answer;
   std::size_t begin = 0;
@@ -173,22 +174,22 @@
       if (size == 0) break;
     }
     answer.whole = true;
-    answer.rest = rest;
+    answer.trailing = rest;
     return answer;
   }
-  // Without a length it goes to the connection's end; 204 and HEAD have neither.
+  // Without a length the body extends to the end of the connection; answers to 204 and HEAD have no body.
   const bool sized = answer.head.headers.contains("content-length");
   const std::size_t length = sized ? std::stoul(answer.head.headers["content-length"]) : rest.size();
   answer.body = rest.substr(0, length);
   answer.whole = rest.size() >= length;
-  answer.rest = rest.size() > length ? rest.substr(length) : "";
+  answer.trailing = rest.size() > length ? rest.substr(length) : "";
   return answer;
 }
 
 // ---- A case ----
 
-// Replaces the places that `set` names by pointer, as in "/messages/0/role"; null takes them away.
-json with(json body, const json& set) {
+// Replaces the values that `set` names by JSON pointer, such as "/messages/0/role"; null removes them.
+json with_changes(json body, const json& set) {
   for (const auto& [pointer, value] : set.items()) {
     const json::json_pointer place(pointer);
     if (value.is_null()) {
@@ -223,25 +224,25 @@
     for (std::size_t i = 0; i + 1 < hex.size(); i += 2)
       body += char(std::stoi(hex.substr(i, 2), nullptr, 16));
   } else if (method == "POST") {
-    body = with(defaults["body"], c.value("set", json::object())).dump();
+    body = with_changes(defaults["body"], c.value("set", json::object())).dump();
   }
   if (method == "POST") text += "Content-Length: " + std::to_string(body.size()) + "\r\n";
   return text + "\r\n" + body;
 }
 
-// Every member of `part` is in `whole`, at any depth; lists are compared entry by entry.
-bool holds(const json& whole, const json& part) {
+// Whether every member of `part` is in `whole`, at any depth; lists are compared entry by entry.
+bool contains(const json& whole, const json& part) {
   if (part == "*") return true;
   if (part.is_object() && whole.is_object()) {
     return std::ranges::all_of(part.items(), [&whole](const auto& item) {
       if (item.value().is_null() && !whole.contains(item.key())) return true;
-      return whole.contains(item.key()) && holds(whole[item.key()], item.value());
+      return whole.contains(item.key()) && contains(whole[item.key()], item.value());
     });
   }
   if (part.is_array() && whole.is_array()) {
     if (part.size() != whole.size()) return false;
     for (std::size_t i = 0; i < part.size(); ++i) {
-      if (!holds(whole[i], part[i])) return false;
+      if (!contains(whole[i], part[i])) return false;
     }
     return true;
   }
@@ -261,10 +262,10 @@
 
 json parsed(const std::string& text) { return json::parse(text, nullptr, false); }
 
-// What does not fit; empty: all does.
-std::string misfit(const json& expect, const Answer& answer, const std::vector<Message>& sent) {
+// Describes the first mismatch between the answer and the expectation; empty if there is none.
+std::string mismatch(const json& expect, const Response& answer, const std::vector<Message>& sent) {
   if (expect.contains("closed") && expect["closed"] == true)
-    return answer.head.first.empty() ? "" : "it was answered";
+    return answer.head.first.empty() ? "" : "expected a close without an answer";
   if (answer.head.first.empty()) return "no answer";
   if (expect.contains("status") && answer.head.status() != expect["status"]) return "status";
   const json headers_given = expect.value("headers", json::object());
@@ -279,9 +280,9 @@
     for (const char* field : {"message", "type", "param", "code"}) {
       if (!body["error"].contains(field)) return std::string("error lacks ") + field;
     }
-    if (!holds(body["error"], expect["error"])) return "error";
+    if (!contains(body["error"], expect["error"])) return "error";
   }
-  if (expect.contains("body") && !holds(parsed(answer.body), expect["body"])) return "body";
+  if (expect.contains("body") && !contains(parsed(answer.body), expect["body"])) return "body";
   if (expect.contains("text") && answer.body != expect["text"]) return "text";
   if (expect.contains("whole") && answer.whole != expect["whole"]) return "whole";
   const json has_given = expect.value("has", json::array());
@@ -299,7 +300,7 @@
     if (events.size() != expect["events"].size()) return "number of events";
     for (std::size_t i = 0; i < events.size(); ++i) {
       const json& wanted = expect["events"][i];
-      if (wanted.is_string() && wanted != "*" ? events[i] != wanted : !holds(parsed(events[i]), wanted)) {
+      if (wanted.is_string() && wanted != "*" ? events[i] != wanted : !contains(parsed(events[i]), wanted)) {
         return "event " + std::to_string(i);
       }
     }
@@ -311,7 +312,7 @@
   }
   if (expect.contains("attempts") && sent.size() != expect["attempts"])
     return "attempts " + std::to_string(sent.size());
-  if (expect.contains("sent") && (sent.empty() || !holds(parsed(sent.front().body), expect["sent"])))
+  if (expect.contains("sent") && (sent.empty() || !contains(parsed(sent.front().body), expect["sent"])))
     return "sent";
   if (expect.contains("sent_text") && (sent.empty() || sent.front().body != expect["sent_text"]))
     return "sent text";
@@ -325,88 +326,88 @@
       return "sent header " + name;
     }
   }
-  if (!answer.rest.empty()) return "more than one answer";
+  if (!answer.trailing.empty()) return "more than one answer";
   return "";
 }
 
-// Like merge_patch, but null is a value: it says that something must not be there.
-void overlay(json& onto, const json& more) {
+// Like merge_patch, but null is kept as a value: it means that something must be absent.
+void merge_expected(json& onto, const json& more) {
   for (const auto& [key, value] : more.items()) {
     if (value.is_object() && onto.contains(key) && onto[key].is_object()) {
-      overlay(onto[key], value);
+      merge_expected(onto[key], value);
     } else {
       onto[key] = value;
     }
   }
 }
 
-struct Tally {
+struct SectionResult {
   std::string section;
   int passed = 0, failed = 0;
 };
 
-Tally run(const json& section, const std::string& only) {
-  Tally tally{section["section"], 0, 0};
-  Boxes boxes;
+SectionResult run(const json& section, const std::string& name_filter) {
+  SectionResult result{section["section"], 0, 0};
+  ScriptedInstances instances;
   const json defaults = section.value("defaults", json::object());
   std::unique_ptr<Appliance> program;
   for (const json& c : section["cases"]) {
     const std::string name = c["name"];
-    if (name.find(only) == std::string::npos) continue;
+    if (name.find(name_filter) == std::string::npos) continue;
     if (!program || section.value("fresh", false)) {
       program.reset();
-      program = std::make_unique<Appliance>(boxes, section.value("appliance", json::object()));
+      program = std::make_unique<Appliance>(instances, section.value("appliance", json::object()));
     }
-    boxes.begin(c.contains("boxes") ? c["boxes"] : defaults.value("boxes", json::array()));
+    instances.begin(c.contains("boxes") ? c["boxes"] : defaults.value("boxes", json::array()));
     json expect = defaults.value("expect", json::object());
-    if (c.contains("expect")) overlay(expect, c["expect"]);
-    if (c.contains("param")) expect["error"]["param"] = c["param"];  // short for the many: the field at fault
-    // Others with the same request, open meanwhile; their boxes say nothing.
-    std::vector<std::unique_ptr<Wire>> crowd;
+    if (c.contains("expect")) merge_expected(expect, c["expect"]);
+    if (c.contains("param")) expect["error"]["param"] = c["param"];  // shorthand: the invalid field
+    // Further clients with the same request that stay open meanwhile; their instances do not answer.
+    std::vector<std::unique_ptr<Wire>> concurrent;
     for (int i = 0; i < c.value("crowd", 0); ++i) {
-      crowd.push_back(program->connect());
-      crowd.back()->send(request_text(c, defaults));
+      concurrent.push_back(program->connect());
+      concurrent.back()->send(request_text(c, defaults));
     }
-    if (!crowd.empty()) std::this_thread::sleep_for(std::chrono::milliseconds(300));
+    if (!concurrent.empty()) std::this_thread::sleep_for(std::chrono::milliseconds(300));
     const auto wire = program->connect();
     wire->send(request_text(c, defaults));
     const std::string text = wire->receive_all();
-    const std::string problem = misfit(expect, read_answer(text), boxes.requests());
+    const std::string problem = mismatch(expect, read_response(text), instances.requests());
     if (problem.empty()) {
-      ++tally.passed;
+      ++result.passed;
       continue;
     }
-    ++tally.failed;
-    std::printf("FAILED  %s / %s: %s\n%s\n", tally.section.c_str(), name.c_str(), problem.c_str(),
+    ++result.failed;
+    std::printf("FAILED  %s / %s: %s\n%s\n", result.section.c_str(), name.c_str(), problem.c_str(),
                 text.substr(0, 2000).c_str());
   }
-  return tally;
+  return result;
 }
 
 }  // namespace
 
 int main(int argc, char** argv) {
   const std::filesystem::path folder = argc > 1 ? argv[1] : EIDERARCH_ROOT "/tests/conformance/cases";
-  const std::string only = argc > 2 ? argv[2] : "";
+  const std::string name_filter = argc > 2 ? argv[2] : "";
   std::vector<std::filesystem::path> files;
   for (const auto& entry : std::filesystem::directory_iterator(folder)) files.push_back(entry.path());
   std::ranges::sort(files);
-  std::vector<Tally> tallies;
+  std::vector<SectionResult> results;
   for (const auto& file : files) {
     std::ifstream in(file);
     try {
-      tallies.push_back(run(json::parse(in), only));
+      results.push_back(run(json::parse(in), name_filter));
     } catch (const std::exception& problem) {
       std::printf("FAILED  %s: %s\n", file.c_str(), problem.what());
-      tallies.push_back({file.filename().string(), 0, 1});
+      results.push_back({file.filename().string(), 0, 1});
     }
   }
   int passed = 0, failed = 0;
   std::printf("%-44s %7s %7s\n", "section", "passed", "failed");
-  for (const Tally& tally : tallies) {
-    std::printf("%-44s %7d %7d\n", tally.section.c_str(), tally.passed, tally.failed);
-    passed += tally.passed;
-    failed += tally.failed;
+  for (const SectionResult& result : results) {
+    std::printf("%-44s %7d %7d\n", result.section.c_str(), result.passed, result.failed);
+    passed += result.passed;
+    failed += result.failed;
   }
   std::printf("%-44s %7d %7d\n", "all", passed, failed);
   return failed == 0 && passed > 0 ? 0 : 1;
