--- a/tests/stories/admission_stories.cpp
+++ b/tests/stories/admission_stories.cpp
@@ -1,4 +1,4 @@
-// The door from outside: keys, limits, repeats and the operators' commands, against the whole program.
+// Admission control of the whole program over sockets: API keys, rate limits, repeats and operator commands.
 #include <sys/stat.h>
 #include <unistd.h>
 
@@ -21,31 +21,31 @@
 std::string json_answer(const char* status, const std::string& body) {
   return simple(status, body, "Content-Type: application/json\r\n");
 }
-Peer::Script serving(Record& seen) {
+Peer::Script answering(Record& seen) {
   return box(seen, [](Wire& wire, const Message& m) {
     wire.send(json::parse(m.body).value("stream", false) ? stream_text() : json_answer("200 OK", kWhole));
     return true;
   });
 }
 
-struct Ran {
+struct CommandResult {
   int code = 0;
   std::string output;
 };
-Ran bankmux(const std::vector<std::string>& arguments) {
+CommandResult run_bankmux(const std::vector<std::string>& arguments) {
   Program program(arguments, {});
   const int code = program.wait();
   return {code, program.output()};
 }
 
-// A file of keys made as an operator makes it.
+// A key file, created with the operator commands.
 class KeyFile {
  public:
   KeyFile() : path_(temporary_file("")) { ::unlink(path_.c_str()); }
   std::string add(const std::string& tenant, std::vector<std::string> more = {}) {
     std::vector<std::string> arguments = {"key", "add", "--keys", path_, "--tenant", tenant};
     arguments.insert(arguments.end(), more.begin(), more.end());
-    const Ran ran = bankmux(arguments);
+    const CommandResult ran = run_bankmux(arguments);
     const std::size_t at = ran.output.find("bmx-");
     REQUIRE(at != std::string::npos);
     return ran.output.substr(at, ran.output.find('\n', at) - at);
@@ -58,26 +58,27 @@
 
 std::string id_of(const std::string& key) { return key.substr(4, 12); }
 
-struct Asked {
+struct RequestHeaders {
   std::string key, idempotency = {}, retry = {};
 };
-std::string request(const std::string& body, const Asked& asked) {
+std::string request(const std::string& body, const RequestHeaders& headers_given) {
   std::string headers;
-  if (!asked.key.empty()) headers += "Authorization: Bearer " + asked.key + "\r\n";
-  if (!asked.idempotency.empty()) headers += "Idempotency-Key: " + asked.idempotency + "\r\n";
-  if (!asked.retry.empty()) headers += "x-stainless-retry-count: " + asked.retry + "\r\n";
+  if (!headers_given.key.empty()) headers += "Authorization: Bearer " + headers_given.key + "\r\n";
+  if (!headers_given.idempotency.empty()) headers += "Idempotency-Key: " + headers_given.idempotency + "\r\n";
+  if (!headers_given.retry.empty()) headers += "x-stainless-retry-count: " + headers_given.retry + "\r\n";
   std::string text = Appliance::request(body);
   return text.insert(text.find("Host:"), headers);
 }
-std::string ask(const Appliance& appliance, const std::string& body, const Asked& asked) {
-  return Appliance::say(appliance.chat_address(), request(body, asked));
+std::string send_request(const Appliance& appliance, const std::string& body,
+                         const RequestHeaders& headers_given) {
+  return Appliance::say(appliance.chat_address(), request(body, headers_given));
 }
 
 const std::string kAjuste = Appliance::body("m-ajuste", false), kStream = Appliance::body("m-ajuste", true);
 
 }  // namespace
 
-TEST_CASE("Admission: keys are made, known, kept from the boxes, limited to their models, and revoked") {
+TEST_CASE("Admission: keys are created, accepted, withheld from instances, limited to models, and revoked") {
   Record seen;
   std::atomic<bool> key_seen{false};
   Peer one(box(seen, [&](Wire& wire, const Message& m) {
@@ -93,16 +94,16 @@
   Appliance appliance({one.address()}, {{"keys", keys.path()}});
   for (const std::string& wrong : {std::string(), std::string("bmx-000000000000-") + std::string(64, '0'),
                                    sur.substr(0, sur.size() - 1) + (sur.back() == '0' ? "1" : "0")}) {
-    const std::string answer = ask(appliance, kAjuste, {wrong});
+    const std::string answer = send_request(appliance, kAjuste, {wrong});
     CHECK(answer.starts_with("HTTP/1.1 401 Unauthorized"));
     CHECK(body_of(answer)["error"]["code"] == "invalid_api_key");
     CHECK(has(answer, "x-should-retry: false"));
   }
-  CHECK(ask(appliance, kAjuste, {norte}).starts_with("HTTP/1.1 403"));
-  CHECK(ask(appliance, kAjuste, {sur}).starts_with("HTTP/1.1 200"));
+  CHECK(send_request(appliance, kAjuste, {norte}).starts_with("HTTP/1.1 403"));
+  CHECK(send_request(appliance, kAjuste, {sur}).starts_with("HTTP/1.1 200"));
   CHECK(seen.count(kChat) == 1);
   CHECK_FALSE(key_seen);
-  // Health needs none, and models are those of the key.
+  // Health checks need no key, but /v1/models does, and lists only the models that the key may use.
   CHECK(appliance.get("/v1/models").starts_with("HTTP/1.1 401"));
   const std::string models = Appliance::say(appliance.chat_address(),
                                             "GET /v1/models HTTP/1.1\r\nConnection: close\r\n"
@@ -110,15 +111,15 @@
                                                 norte + "\r\n\r\n");
   CHECK(body_of(models)["data"].size() == 1);
 
-  const Ran list = bankmux({"key", "list", "--keys", keys.path(), "--json"});
+  const CommandResult list = run_bankmux({"key", "list", "--keys", keys.path(), "--json"});
   CHECK(json::parse(list.output).size() == 2);
   CHECK_FALSE(has(list.output, "hash"));
-  CHECK(bankmux({"key", "revoke", "000000000000", "--keys", keys.path()}).code == 1);
-  CHECK(bankmux({"key", "revoke", id_of(sur), "--keys", keys.path()}).code == 0);
+  CHECK(run_bankmux({"key", "revoke", "000000000000", "--keys", keys.path()}).code == 1);
+  CHECK(run_bankmux({"key", "revoke", id_of(sur), "--keys", keys.path()}).code == 0);
   appliance.program().send_signal(SIGHUP);
   bool gone = false;
   for (int i = 0; i < 100 && !gone; ++i) {
-    gone = ask(appliance, kAjuste, {sur}).starts_with("HTTP/1.1 401");
+    gone = send_request(appliance, kAjuste, {sur}).starts_with("HTTP/1.1 401");
     std::this_thread::sleep_for(10ms);
   }
   CHECK(gone);
@@ -128,7 +129,7 @@
 }
 
 TEST_CASE(
-    "Admission: a key over its limits gets 429 with when to return, and one that never ran costs nothing") {
+    "Admission: a key over its limits gets 429 with Retry-After, and unexecuted requests cost nothing") {
   Record seen;
   std::atomic<bool> full{true};
   Peer one(box(seen, [&](Wire& wire, const Message&) {
@@ -140,35 +141,36 @@
       keys.add("norte", {"--requests-per-minute", "2", "--tokens-per-minute", "100000"});
   const std::string sur = keys.add("sur");
   Appliance appliance({one.address()}, {{"keys", keys.path()}});
-  CHECK(ask(appliance, kAjuste, {norte}).starts_with("HTTP/1.1 503"));  // every box full: given back
+  // Every instance is full, so the charge is refunded.
+  CHECK(send_request(appliance, kAjuste, {norte}).starts_with("HTTP/1.1 503"));
   full = false;
-  const std::string first = ask(appliance, kAjuste, {norte});
+  const std::string first = send_request(appliance, kAjuste, {norte});
   CHECK(first.starts_with("HTTP/1.1 200"));
   CHECK(has(first, "x-ratelimit-limit-requests: 2\r\nx-ratelimit-remaining-requests: 1\r\n"));
   CHECK(has(first, "x-ratelimit-reset-requests: "));
   CHECK(has(first, "x-ratelimit-limit-tokens: 100000"));
-  CHECK(ask(appliance, kAjuste, {norte}).starts_with("HTTP/1.1 200"));
-  const std::string over = ask(appliance, kAjuste, {norte});
+  CHECK(send_request(appliance, kAjuste, {norte}).starts_with("HTTP/1.1 200"));
+  const std::string over = send_request(appliance, kAjuste, {norte});
   CHECK(over.starts_with("HTTP/1.1 429"));
   CHECK(body_of(over)["error"]["code"] == "rate_limit_exceeded");
   CHECK(has(over, "x-should-retry: true"));
   CHECK(has(over, "Retry-After: "));
-  CHECK(ask(appliance, kAjuste, {sur}).starts_with("HTTP/1.1 200"));
+  CHECK(send_request(appliance, kAjuste, {sur}).starts_with("HTTP/1.1 200"));
 
-  const Ran shown = bankmux({"tenants", "--connect", appliance.page_address(), "--json"});
+  const CommandResult shown = run_bankmux({"tenants", "--connect", appliance.page_address(), "--json"});
   REQUIRE(shown.code == 0);
   const json tenants = json::parse(shown.output)["tenants"];
   CHECK(tenants[0]["tenant"] == "norte");
   CHECK(tenants[0]["limited"] == 1);
-  CHECK(tenants[0]["tokens"] == 84);  // by the box's word, twice
+  CHECK(tenants[0]["tokens"] == 84);  // usage reported by the instance, twice
   CHECK(tenants[0]["keys"][0]["requests_per_minute"]["left"] == 0);
-  CHECK(has(bankmux({"tenants", "--connect", appliance.page_address()}).output, "0 of 2"));
-  CHECK(has(bankmux({"console", "--connect", appliance.page_address(), "--once"}).output, "norte"));
+  CHECK(has(run_bankmux({"tenants", "--connect", appliance.page_address()}).output, "0 of 2"));
+  CHECK(has(run_bankmux({"console", "--connect", appliance.page_address(), "--once"}).output, "norte"));
 }
 
 TEST_CASE(
-    "Admission: the same key on 50 connections at once is one attempt, and then the first one's answer "
-    "again") {
+    "Admission: the same idempotency key on 50 connections at once gives one attempt, and repeats then get "
+    "its answer") {
   Record seen;
   std::atomic<bool> hold{true};
   Peer one(box(seen, [&](Wire& wire, const Message& m) {
@@ -184,7 +186,7 @@
     std::vector<std::thread> clients;
     for (int i = 0; i < 50; ++i) {
       clients.emplace_back([&] {
-        const std::string answer = ask(appliance, body, {"", key});
+        const std::string answer = send_request(appliance, body, {"", key});
         (answer.starts_with("HTTP/1.1 200")   ? served
          : answer.starts_with("HTTP/1.1 409") ? held_off
                                               : other)++;
@@ -194,23 +196,24 @@
     for (std::thread& client : clients) client.join();
     CHECK(served == 1);
     CHECK(held_off == 49);
-    const std::string again = ask(appliance, body, {"", key});
+    const std::string again = send_request(appliance, body, {"", key});
     CHECK(again.starts_with("HTTP/1.1 200"));
     CHECK(has(again, "Idempotent-Replayed: true"));
     CHECK(has(again, body == kStream ? kEvent : kWhole));
     CHECK(has(again, body == kStream ? "\r\n0\r\n" : "Content-Length"));
   }
   CHECK(seen.count(kChat) == 2);
-  CHECK(ask(appliance, kStream, {"", "whole"}).starts_with("HTTP/1.1 422"));
-  CHECK(ask(appliance, kStream, {"", "no good"}).starts_with("HTTP/1.1 400"));
-  // And across a reload.
+  CHECK(send_request(appliance, kStream, {"", "whole"}).starts_with("HTTP/1.1 422"));
+  CHECK(send_request(appliance, kStream, {"", "no good"}).starts_with("HTTP/1.1 400"));
+  // The ledger survives a reload of the settings.
   appliance.reload(appliance.file());
   std::this_thread::sleep_for(100ms);
-  CHECK(has(ask(appliance, kAjuste, {"", "whole"}), "Idempotent-Replayed: true"));
+  CHECK(has(send_request(appliance, kAjuste, {"", "whole"}), "Idempotent-Replayed: true"));
   CHECK(seen.count(kChat) == 2);
 }
 
-TEST_CASE("Admission: a client drops mid-stream on an ajuste: not run again, and told so under its key") {
+TEST_CASE(
+    "Admission: an ajuste whose client disconnects is not run again, and a repeat gets outcome_unknown") {
   Record seen;
   Peer one(box(seen, [&](Wire& wire, const Message&) {
     wire.send(stream_head() + chunk(kEvent));
@@ -226,24 +229,25 @@
     wire->receive_until(kEvent);
   }
   REQUIRE(seen.wait_for("attempt ended"));
-  const std::string again = ask(appliance, kStream, {norte, "pedido-1"});
+  const std::string again = send_request(appliance, kStream, {norte, "pedido-1"});
   CHECK(again.starts_with("HTTP/1.1 502"));
   CHECK(body_of(again)["error"]["code"] == "outcome_unknown");
   CHECK(has(again, "x-should-retry: false"));
   CHECK(seen.count(kChat) == 1);
-  // Its reservation is settled: nothing is open any more.
+  // The reservation is settled and no request is open.
   const json tenants =
-      json::parse(bankmux({"tenants", "--connect", appliance.page_address(), "--json"}).output);
+      json::parse(run_bankmux({"tenants", "--connect", appliance.page_address(), "--json"}).output);
   CHECK(tenants["tenants"][0]["open"] == 0);
   CHECK(tenants["tenants"][0]["keys"][0]["open"]["left"] == 1);
-  const Ran shown = bankmux({"ledger", "show", "pedido-1", "--connect", appliance.page_address()});
+  const CommandResult shown =
+      run_bankmux({"ledger", "show", "pedido-1", "--connect", appliance.page_address()});
   CHECK(shown.code == 0);
   CHECK(has(shown.output, "outcome_unknown"));
-  CHECK(bankmux({"ledger", "show", "other", "--connect", appliance.page_address()}).code == 1);
+  CHECK(run_bankmux({"ledger", "show", "other", "--connect", appliance.page_address()}).code == 1);
 }
 
 TEST_CASE(
-    "Admission: what a box proves not to have run is run by the repeat, and what may have run never is") {
+    "Admission: a repeat runs a request that is proved not to have run, and never one that may have run") {
   Record seen;
   std::atomic<int> step{0};
   Peer one(box(seen, [&](Wire& wire, const Message&) {
@@ -255,33 +259,33 @@
         wire.send(json_answer("200 OK", kWhole));
         return true;
       default:
-        wire.reset();  // after it has read all of it
+        wire.reset();  // after reading the whole request
         return false;
     }
   }));
   Appliance appliance({one.address()});
-  CHECK(ask(appliance, kAjuste, {"", "a"}).starts_with("HTTP/1.1 503"));
+  CHECK(send_request(appliance, kAjuste, {"", "a"}).starts_with("HTTP/1.1 503"));
   step = 1;
-  const std::string served = ask(appliance, kAjuste, {"", "a"});
+  const std::string served = send_request(appliance, kAjuste, {"", "a"});
   CHECK(served.starts_with("HTTP/1.1 200"));
-  CHECK(has(served, "x-should-retry: true"));  // its key protects it
+  CHECK(has(served, "x-should-retry: true"));  // because its key protects it
   step = 2;
   seen.clear();
-  CHECK(has(ask(appliance, kAjuste, {"", "b"}), "outcome_unknown"));
+  CHECK(has(send_request(appliance, kAjuste, {"", "b"}), "outcome_unknown"));
   step = 1;
-  CHECK(has(ask(appliance, kAjuste, {"", "b"}), "outcome_unknown"));
+  CHECK(has(send_request(appliance, kAjuste, {"", "b"}), "outcome_unknown"));
   CHECK(seen.count(kChat) == 1);
-  // Without a key, the mark that SDKs put on their own repeats tells them from a first try.
+  // Without a key, the retry count header of the SDKs distinguishes a retry from a first try.
   step = 2;
-  CHECK(has(ask(appliance, kAjuste, {"", "", "0"}), "outcome_unknown"));
+  CHECK(has(send_request(appliance, kAjuste, {"", "", "0"}), "outcome_unknown"));
   step = 1;
-  CHECK(has(ask(appliance, kAjuste, {"", "", "1"}), "outcome_unknown"));
+  CHECK(has(send_request(appliance, kAjuste, {"", "", "1"}), "outcome_unknown"));
   CHECK(seen.count(kChat) == 2);
-  CHECK(ask(appliance, kAjuste, {"", "", "0"}).starts_with("HTTP/1.1 200"));
+  CHECK(send_request(appliance, kAjuste, {"", "", "0"}).starts_with("HTTP/1.1 200"));
 }
 
 TEST_CASE(
-    "Admission: a key revoked while its stream runs: the stream ends whole, the next request is refused") {
+    "Admission: a stream whose key is revoked is completed, and the next request with the key is rejected") {
   Record seen;
   std::atomic<bool> hold{true};
   Peer one(box(seen, [&](Wire& wire, const Message&) {
@@ -296,15 +300,15 @@
   const auto wire = appliance.connect();
   wire->send(request(kStream, {norte, "k"}));
   CHECK(has(wire->receive_until(kEvent), "200 OK"));
-  CHECK(bankmux({"key", "revoke", id_of(norte), "--keys", keys.path()}).code == 0);
+  CHECK(run_bankmux({"key", "revoke", id_of(norte), "--keys", keys.path()}).code == 0);
   appliance.program().send_signal(SIGHUP);
   std::this_thread::sleep_for(200ms);
-  CHECK(ask(appliance, kStream, {norte, "k"}).starts_with("HTTP/1.1 401"));
+  CHECK(send_request(appliance, kStream, {norte, "k"}).starts_with("HTTP/1.1 401"));
   hold = false;
   CHECK(has(wire->receive_all(), "[DONE]"));
 }
 
-TEST_CASE("Admission: one tenant's flood of open requests leaves room for another's") {
+TEST_CASE("Admission: one tenant's flood of open requests leaves room for another tenant") {
   Record seen;
   std::atomic<bool> hold{true};
   Peer one(box(seen, [&](Wire& wire, const Message&) {
@@ -314,7 +318,7 @@
   }));
   KeyFile keys;
   const std::string norte = keys.add("norte"), sur = keys.add("sur");
-  // A table of 27.
+  // This setting gives a table of 27 requests.
   Appliance appliance(
       {one.address()},
       {{"keys", keys.path()},
@@ -329,11 +333,11 @@
   }
   const auto tenant = [&appliance](std::size_t place) {
     return json::parse(
-        bankmux({"tenants", "--connect", appliance.page_address(), "--json"}).output)["tenants"][place];
+        run_bankmux({"tenants", "--connect", appliance.page_address(), "--json"}).output)["tenants"][place];
   };
   for (int i = 0; i < 200 && tenant(0)["over_share"] == 0; ++i) std::this_thread::sleep_for(10ms);
   CHECK(tenant(0)["over_share"] > 0);
-  CHECK(tenant(0)["open"] == 21);  // three quarters
+  CHECK(tenant(0)["open"] == 21);  // three quarters of the table
   const auto other = appliance.connect();
   other->send(request(kAjuste, {sur, "mine"}));
   for (int i = 0; i < 200 && tenant(1)["admitted"] == 0; ++i) std::this_thread::sleep_for(10ms);
@@ -343,26 +347,26 @@
   CHECK(answer.starts_with("HTTP/1.1 200"));
 }
 
-TEST_CASE("Admission: faulty files of keys are refused by name, at start and on reload") {
+TEST_CASE("Admission: an invalid key file is rejected, and a reload keeps the old keys") {
   Record seen;
-  Peer one(serving(seen));
+  Peer one(answering(seen));
   KeyFile keys;
   const std::string norte = keys.add("norte");
-  const Ran bad = bankmux({"key", "add", "--keys", keys.path(), "--tenant", std::string(65, 'x')});
+  const CommandResult bad =
+      run_bankmux({"key", "add", "--keys", keys.path(), "--tenant", std::string(65, 'x')});
   CHECK(bad.code == 2);
   CHECK(has(bad.output, "tenant"));
   Appliance appliance({one.address()}, {{"keys", keys.path()}});
   ::chmod(keys.path().c_str(), 0644);
   appliance.program().send_signal(SIGHUP);
   std::this_thread::sleep_for(200ms);
-  CHECK(ask(appliance, kAjuste, {norte}).starts_with("HTTP/1.1 200"));  // the old keys stay
-  const Ran refused = bankmux({"key", "list", "--keys", keys.path()});
+  CHECK(send_request(appliance, kAjuste, {norte}).starts_with("HTTP/1.1 200"));  // the old keys stay valid
+  const CommandResult refused = run_bankmux({"key", "list", "--keys", keys.path()});
   CHECK(refused.code == 2);
   CHECK(has(refused.output, "chmod 600"));
 }
 
-TEST_CASE(
-    "Admission: a further attempt that was turned away does not give back what an earlier one may have run") {
+TEST_CASE("Admission: a refused retry does not refund an earlier attempt that may have run") {
   Record seen;
   std::atomic<int> step{0};
   const auto script = box(seen, [&](Wire& wire, const Message&) {
@@ -373,9 +377,10 @@
   KeyFile keys;
   const std::string norte = keys.add("norte", {"--tokens-per-minute", "1000000"});
   Appliance appliance({one.address(), two.address()}, {{"keys", keys.path()}});
-  CHECK_FALSE(ask(appliance, Appliance::body("m-consulta", false), {norte}).starts_with("HTTP/1.1 200"));
+  CHECK_FALSE(
+      send_request(appliance, Appliance::body("m-consulta", false), {norte}).starts_with("HTTP/1.1 200"));
   CHECK(seen.count(kChat) > 1);
   const json tenants =
-      json::parse(bankmux({"tenants", "--connect", appliance.page_address(), "--json"}).output);
+      json::parse(run_bankmux({"tenants", "--connect", appliance.page_address(), "--json"}).output);
   CHECK(tenants["tenants"][0]["tokens"] > 0);
 }
--- a/tests/stories/chat_stories.cpp
+++ b/tests/stories/chat_stories.cpp
@@ -1,5 +1,5 @@
-// The chat front's hard cases: boxes that break off anywhere, clients of every kind, and many of them at
-// once.
+// The chat API against scripted instances and hostile clients: streams that break off at any byte, slow
+// clients, oversized and malformed requests, and many clients at once.
 #include <atomic>
 #include <catch2/catch.hpp>
 #include <random>
@@ -16,7 +16,7 @@
 
 std::string whole_stream() { return stream_head() + chunk(kEvent) + chunk("data: [DONE]\n\n") + "0\r\n\r\n"; }
 
-Peer::Script serving(Record& seen) {
+Peer::Script answering(Record& seen) {
   return box(seen, [](Wire& wire, const Message& m) {
     if (json::parse(m.body).value("stream", false)) {
       wire.send(whole_stream());
@@ -29,36 +29,35 @@
 
 }  // namespace
 
-TEST_CASE(
-    "Chat: a box cut at every byte of an event: whole events, then the error event, never half a line") {
+TEST_CASE("Chat: a stream cut at any byte gives complete events, then the error event, never half a line") {
   Record seen;
-  const std::string second = "data: {\"choices\":[{\"delta\":{\"content\":\"never whole\"}}]}\n\n";
+  const std::string cut_event = "data: {\"choices\":[{\"delta\":{\"content\":\"never whole\"}}]}\n\n";
   std::atomic<std::size_t> cut{0};
   Peer one(box(seen, [&](Wire& wire, const Message&) {
-    wire.send(stream_head() + chunk(kEvent) + (cut > 0 ? chunk(second.substr(0, cut)) : ""));
+    wire.send(stream_head() + chunk(kEvent) + (cut > 0 ? chunk(cut_event.substr(0, cut)) : ""));
     return false;
   }));
   Appliance appliance({one.address()});
-  for (cut = 0; cut < second.size(); ++cut) {
+  for (cut = 0; cut < cut_event.size(); ++cut) {
     const std::string answer = appliance.chat(Appliance::body("m-ajuste", true));
     INFO("cut at " << cut << ": " << answer);
     CHECK(has(answer, kEvent));
     CHECK_FALSE(has(answer, "never"));
-    CHECK(has(answer, "\r\ndata: {\"error\""));  // at the beginning of a chunk, and so of a line
+    CHECK(has(answer, "\r\ndata: {\"error\""));  // at the beginning of a chunk, and therefore of a line
     CHECK(has(answer, "stream_broken"));
     CHECK_FALSE(has(answer, "\r\n0\r\n"));
   }
-  CHECK(seen.count(kChat) == int(second.size()));
+  CHECK(seen.count(kChat) == int(cut_event.size()));
 }
 
-TEST_CASE("Chat: an answer's end that is cut within its last line end reaches the client whole") {
+TEST_CASE("Chat: a stream end that is split within its last line end reaches the client complete") {
   Record seen;
   const std::string first = "data: {\"choices\":[]}\r\n\r\n", last = "data: [DONE]\r\n\r\n";
   for (std::size_t cut = last.size() - 4; cut < last.size(); ++cut) {
-    Record word;
+    Record client_progress;
     Peer one(box(seen, [&](Wire& wire, const Message&) {
       wire.send(stream_head() + chunk(first) + chunk(last.substr(0, cut)));
-      if (!word.wait_for("has the first")) return false;
+      if (!client_progress.wait_for("has the first")) return false;
       wire.send(chunk(last.substr(cut)) + "0\r\n\r\n");
       return true;
     }));
@@ -66,14 +65,14 @@
     const auto client = appliance.connect();
     client->send(Appliance::request(Appliance::body("m-consulta", true)));
     std::string answer = client->receive_until(first);
-    word.add("has the first");
+    client_progress.add("has the first");
     answer += client->receive_all();
     INFO("cut at " << cut << ": " << answer);
     CHECK(has(answer, last + "\r\n0\r\n\r\n"));
   }
 }
 
-TEST_CASE("Chat: a slow-reading client holds its fast box back, and still gets every byte") {
+TEST_CASE("Chat: a slow client applies back-pressure to its instance and still receives every byte") {
   Record seen;
   constexpr std::size_t kEvents = 4000, kSize = 8192;  // 32 MB
   std::atomic<std::size_t> sent{0};
@@ -90,7 +89,7 @@
   Appliance appliance({one.address()});
   const auto client = appliance.connect();
   client->send(Appliance::request(Appliance::body("m-consulta", true)));
-  // Until the box can send no more: what is under way then lies in sockets and in the program.
+  // Wait until the instance can send no more: the data in flight then fills socket buffers and the program's.
   std::size_t before = 1;
   while (before != sent) {
     before = sent;
@@ -104,13 +103,13 @@
   CHECK_FALSE(has(answer, "stream_broken"));
 }
 
-TEST_CASE("Chat: a consulta goes on at the idle box each time, however many failed before it") {
+TEST_CASE("Chat: a consulta that fails at one instance is retried at the idle one every time") {
   Record good, bad;
   Peer failing(box(bad, [](Wire& wire, const Message&) {
     wire.send(simple("500 Internal Server Error", "{\"error\":{\"message\":\"x\"}}"));
     return true;
   }));
-  Peer serves(serving(good));
+  Peer serves(answering(good));
   Appliance appliance({failing.address(), serves.address()});
   for (int i = 0; i < 10; ++i) {
     CHECK(appliance.chat(Appliance::body("m-consulta", false)).starts_with("HTTP/1.1 200"));
@@ -118,9 +117,9 @@
   CHECK(good.count(kChat) == 10);
 }
 
-TEST_CASE("Chat: a client that sends 12 MB and reads only then still hears its 413") {
+TEST_CASE("Chat: a client that sends 12 MB before it reads still receives its 413") {
   Record seen;
-  Peer one(serving(seen));
+  Peer one(answering(seen));
   Appliance appliance({one.address()});
   const auto client = appliance.connect();
   client->send("POST /v1/chat/completions HTTP/1.1\r\nContent-Length: 12582912\r\n\r\n");
@@ -132,14 +131,15 @@
   CHECK(seen.all().empty());
 }
 
-TEST_CASE("Chat: a prompt of 6 MB is served, and where all together are too many, one is told to come back") {
+TEST_CASE(
+    "Chat: prompts of 6 MB are served until body memory is used up, and then one gets 503 with Retry-After") {
   Record seen;
   Peer one(box(seen, [](Wire& wire, const Message&) {
     std::this_thread::sleep_for(400ms);
     wire.send(simple("200 OK", "{\"choices\":[]}"));
     return true;
   }));
-  Appliance appliance({one.address()}, {{"memory_mb", 64}});  // 12.8 MB for bodies
+  Appliance appliance({one.address()}, {{"memory_mb", 64}});  // of which 12.8 MB are for bodies
   json body = json::parse(Appliance::body("m-consulta", false));
   body["messages"][0]["content"] = std::string(6 * 1024 * 1024, 'x');
   const std::string text = body.dump();
@@ -158,15 +158,15 @@
   CHECK(seen.count(kChat) == 2);
 }
 
-TEST_CASE("Chat: 10,000 malformed requests: each gets an error or a close, no box sees one") {
+TEST_CASE("Chat: 10,000 malformed requests each get an error or a close, and none reaches an instance") {
   Record seen;
-  Peer one(serving(seen));
+  Peer one(answering(seen));
   Appliance appliance({one.address()});
   std::mt19937 random(20261201);
   const std::string good = Appliance::body("m-ajuste", true);
   const auto draw = [&random](std::size_t most) { return std::size_t(random() % most); };
-  // Each is broken for certain, in a way drawn anew.
-  const auto broken = [&]() -> std::string {
+  // Every request is certainly malformed, in a randomly chosen way.
+  const auto malformed_request = [&]() -> std::string {
     std::string body = good;
     json value = json::parse(good);
     static const json kWrong[] = {json::array(), json::object(), "x", -1, 1.5, true};
@@ -202,7 +202,7 @@
   };
   int answered = 0, closed = 0;
   for (int i = 0; i < 10'000; ++i) {
-    const std::string text = broken();
+    const std::string text = malformed_request();
     const auto client = appliance.connect();
     REQUIRE(client != nullptr);
     client->send(text);
@@ -219,56 +219,56 @@
   CHECK(answered > 9'000);
   CHECK(seen.all().empty());
   CHECK(has(appliance.chat(good), "[DONE]"));
-  // Its sanitizers complain at the end, were there anything to complain of.
+  // A build with sanitizers reports its findings at exit.
   appliance.program().terminate();
   CHECK(appliance.program().wait() == 0);
 }
 
 TEST_CASE(
-    "Chat: 300 clients at once, a third hostile, one box dies and one drains: the sound ones are served") {
+    "Chat: 300 clients at once, a third hostile, one instance stops, one drains: valid ones are served") {
   Record seen;
-  Peer first(serving(seen)), third(serving(seen));
-  auto dying = std::make_unique<Peer>(serving(seen));
-  Appliance appliance({first.address(), dying->address(), third.address()}, {{"idle_timeout_s", 1}});
-  std::atomic<bool> over{false};
-  std::atomic<int> hostile{0};
+  Peer first(answering(seen)), third(answering(seen));
+  auto stopped = std::make_unique<Peer>(answering(seen));
+  Appliance appliance({first.address(), stopped->address(), third.address()}, {{"idle_timeout_s", 1}});
+  std::atomic<bool> finished{false};
+  std::atomic<int> hostile_connected{0};
   std::vector<std::thread> clients;
   const std::string good = Appliance::request(Appliance::body("m-consulta", true));
   for (int i = 0; i < 100; ++i) {
     clients.emplace_back([&, i] {
       const auto wire = appliance.connect();
-      ++hostile;
+      ++hostile_connected;
       if (wire == nullptr) return;
       if (i % 4 == 0)
         wire->send("POST /v1/chat/completions HTTP/1.1\r\nContent-Length: 9000000\r\n\r\n" +
                    std::string(1'000'000, 'x'));
       if (i % 4 == 1) wire->send(good.substr(0, good.size() / 2));
-      for (std::size_t at = 0; i % 4 == 2 && at < good.size() && !over; ++at) {
+      for (std::size_t at = 0; i % 4 == 2 && at < good.size() && !finished; ++at) {
         wire->send(good.substr(at, 1));
         std::this_thread::sleep_for(20ms);
       }
-      while (!over) std::this_thread::sleep_for(10ms);  // and the rest say nothing at all
+      while (!finished) std::this_thread::sleep_for(10ms);  // the remaining clients send nothing at all
     });
   }
   std::atomic<int> served{0};
-  Record others;
-  const auto wave = [&] {
-    std::vector<std::thread> sound;
+  Record other_answers;
+  const auto run_valid_clients = [&] {
+    std::vector<std::thread> valid_clients;
     for (int i = 0; i < 100; ++i) {
-      sound.emplace_back([&] {
+      valid_clients.emplace_back([&] {
         const std::string answer = Appliance::say(appliance.chat_address(), good);
-        has(answer, "[DONE]") ? void(++served) : others.add(answer);
+        has(answer, "[DONE]") ? void(++served) : other_answers.add(answer);
       });
     }
-    for (std::thread& client : sound) client.join();
+    for (std::thread& client : valid_clients) client.join();
   };
-  while (hostile < 100) std::this_thread::sleep_for(1ms);
-  wave();
+  while (hostile_connected < 100) std::this_thread::sleep_for(1ms);
+  run_valid_clients();
   CHECK(appliance.page("POST", "/-/boxes/b3/drain").starts_with("HTTP/1.1 204"));
-  dying.reset();
-  wave();
-  over = true;
+  stopped.reset();
+  run_valid_clients();
+  finished = true;
   for (std::thread& client : clients) client.join();
-  CHECK(others.all() == std::vector<std::string>{});
+  CHECK(other_answers.all() == std::vector<std::string>{});
   CHECK(served == 200);
 }
--- a/tests/stories/recovery_stories.cpp
+++ b/tests/stories/recovery_stories.cpp
@@ -1,4 +1,4 @@
-// A box is lost while it writes: the whole program against boxes that die at every point.
+// Recovery of streams by the whole program: scripted instances that fail at any point of an answer.
 #include <atomic>
 #include <catch2/catch.hpp>
 
@@ -18,7 +18,7 @@
          "\n\n";
 }
 
-// The events of an answer after what was written, as a box that knows the extension writes them.
+// The events of an answer after the text `written`, as sent by an instance that supports continuation.
 std::vector<std::string> events_after(const std::string& written) {
   std::vector<std::string> out = {
       event({{"index", 0}, {"delta", {{"role", "assistant"}, {"content", ""}}}, {"finish_reason", nullptr}})};
@@ -45,15 +45,15 @@
   return text;
 }
 
-struct Heard {
+struct ParsedStream {
   std::string text;
   int roles = 0, finishes = 0, dones = 0;
   bool error = false, whole = false;
 };
 
-// What a client's parser makes of an answer; any event that is no JSON is an error.
-Heard heard(const std::string& answer) {
-  Heard h;
+// Parses an answer as a client does; an event that is not JSON counts as an error.
+ParsedStream parse_stream(const std::string& answer) {
+  ParsedStream h;
   h.whole = answer.ends_with("\r\n0\r\n\r\n");
   std::string body;
   for (std::size_t at = answer.find("\r\n\r\n") + 4; at < answer.size();) {
@@ -101,8 +101,8 @@
 }  // namespace
 
 TEST_CASE(
-    "Recovery: a writer killed at every byte of its stream: the client's text is that of an undisturbed "
-    "run") {
+    "Recovery: for a decode instance killed at any byte of its stream the client receives the text of an "
+    "undisturbed run") {
   Record seen;
   const std::string whole = all_of(events_after(""));
   const std::size_t first = events_after("")[0].size(),
@@ -110,8 +110,8 @@
   std::atomic<std::size_t> cut{0};
   const auto script = box(seen, [&](Wire& wire, const Message& m) {
     const std::string written = written_in(m);
-    // A first try is cut; what goes on from nothing but the role is a first try in its body, and comes
-    // second.
+    // Only the first attempt is cut. A continuation after the role event alone has no text either, so it
+    // looks like a first attempt but arrives second.
     if (written.empty() && cut > 0) {
       wire.send(stream_head() + chunk(whole.substr(0, cut.exchange(0))));
       wire.reset();
@@ -131,17 +131,17 @@
     cut = at;
     const std::string answer = appliance.chat(kConsulta);
     INFO("cut at " << at << ": " << answer);
-    const Heard h = heard(answer);
+    const ParsedStream h = parse_stream(answer);
     REQUIRE(h.text == whole_text());
     REQUIRE((h.roles == 1 && h.finishes == 1 && h.dones == 1 && h.whole && !h.error));
   }
   const json requests = body_of(appliance.page("GET", "/-/status"))["requests"];
   CHECK(requests["broken"] == 0);
   CHECK(requests["continued"] > 100);
-  CHECK(requests["end_added"] > 0);  // where the finish had come, and the last word alone was lost
+  CHECK(requests["end_added"] > 0);  // cut after the finish_reason, so only [DONE] was missing
 }
 
-TEST_CASE("Recovery: an ajuste is never continued: one clear end, and its box alone has seen it") {
+TEST_CASE("Recovery: an ajuste is never continued and reaches no second instance") {
   Record seen;
   const auto script = box(seen, [&](Wire& wire, const Message&) {
     wire.send(stream_head() + chunk(events_after("")[0] + events_after("")[1]));
@@ -152,12 +152,12 @@
   Appliance appliance({one.address(), two.address()}, with_continuation());
   const std::string answer = appliance.chat(Appliance::body("m-ajuste", true));
   CHECK(has(answer, "look before asking again"));
-  CHECK_FALSE(heard(answer).whole);
+  CHECK_FALSE(parse_stream(answer).whole);
   CHECK(seen.count(kChat) == 1);
 }
 
 TEST_CASE(
-    "Recovery: the second writer dies too, then a third goes on, and with none left the stream ends broken") {
+    "Recovery: a third instance continues if the second fails too, and without one the stream is broken") {
   Record seen;
   std::atomic<int> deaths{2};
   const auto script = box(seen, [&](Wire& wire, const Message& m) {
@@ -172,18 +172,19 @@
   });
   Peer one(script), two(script), three(script);
   Appliance appliance({one.address(), two.address(), three.address()}, with_continuation());
-  const Heard h = heard(appliance.chat(kConsulta));
+  const ParsedStream h = parse_stream(appliance.chat(kConsulta));
   CHECK(h.text == whole_text());
   CHECK(h.whole);
   CHECK(seen.count(kChat) == 3);
   deaths = 1000;
   const std::string broken = appliance.chat(kConsulta);
   CHECK(has(broken, "stream_broken"));
-  CHECK(heard(broken).text.size() < whole_text().size());
+  CHECK(parse_stream(broken).text.size() < whole_text().size());
   CHECK(answers_in(broken) == 1);
 }
 
-TEST_CASE("Recovery: a box that does not know the extension, or begins anew, garbles nothing") {
+TEST_CASE(
+    "Recovery: an instance that does not support continuation or starts over does not corrupt the answer") {
   for (const bool rejects : {true, false}) {
     Record seen;
     std::atomic<bool> first{true};
@@ -207,7 +208,7 @@
     Appliance appliance({one.address(), two.address()}, with_continuation());
     const std::string answer = appliance.chat(kConsulta);
     INFO(answer);
-    const Heard h = heard(answer);
+    const ParsedStream h = parse_stream(answer);
     CHECK(whole_text().starts_with(h.text));
     CHECK(h.error);
     CHECK_FALSE(h.whole);
@@ -217,7 +218,7 @@
 }
 
 TEST_CASE(
-    "Recovery: frozen, then awake: its connection is closed first, and nothing it sends later reaches the "
+    "Recovery: the connection to a frozen instance is closed, and nothing that it sends later reaches the "
     "client") {
   Record seen;
   std::atomic<bool> first{true};
@@ -236,7 +237,7 @@
   Peer one(script), two(script);
   Appliance appliance({one.address(), two.address()}, with_continuation());
   const std::string answer = appliance.chat(kConsulta);
-  const Heard h = heard(answer);
+  const ParsedStream h = parse_stream(answer);
   CHECK(h.text == whole_text());
   CHECK(h.whole);
   CHECK_FALSE(has(answer, "late"));
@@ -244,7 +245,8 @@
   CHECK(seen.count("goes on") == 1);
 }
 
-TEST_CASE("Recovery: the client leaves at the seam: the attempt there ends, and nothing more is tried") {
+TEST_CASE(
+    "Recovery: a client that disconnects during recovery ends the attempt, and no further one is made") {
   Record seen;
   std::atomic<bool> first{true};
   const auto script = box(seen, [&](Wire& wire, const Message& m) {
@@ -269,7 +271,7 @@
   CHECK(seen.count(kChat) == 2);
 }
 
-TEST_CASE("Recovery: without the setting a lost stream ends as before") {
+TEST_CASE("Recovery: without the continuation setting a lost stream ends broken") {
   Record seen;
   const auto script = box(seen, [&](Wire& wire, const Message&) {
     wire.send(stream_head() + chunk(events_after("")[0] + events_after("")[1]));
--- a/tests/stories/repeat_stories.cpp
+++ b/tests/stories/repeat_stories.cpp
@@ -1,6 +1,6 @@
-// Requests that must not be repeated, over sockets: instances whose scripts force the moment, and drawn
-// faults at every step of an attempt. What instances executed and clients were answered is checked as one
-// record.
+// Requests that must run at most once, over sockets: scripted instances that force a particular order of
+// events, and random faults at every step of an attempt. What instances executed and what clients were
+// answered are checked together.
 #include <algorithm>
 #include <catch2/catch.hpp>
 #include <csignal>
@@ -18,10 +18,11 @@
 
 bool is_request(const Message& message) { return message.first.starts_with("POST /v1/"); }
 
-std::string turned_away(const std::string& status) { return simple(status, "", "X-Turned-Away: 1\r\n"); }
+std::string refusal(const std::string& status) { return simple(status, "", "X-Turned-Away: 1\r\n"); }
 
-// Answers each read with a state that waits, and every call.
-void serve_reads(Wire& wire) {
+// Answers each prefill request with a held KV cache, and every other call with 204. A held KV cache is the
+// state that a prefill instance keeps until a decode instance fetches it.
+void serve_prefill(Wire& wire) {
   while (const auto message = wire.receive()) {
     wire.send(is_request(*message) ? simple("202 Accepted", "{\"cached_tokens\":0}")
                                    : simple("204 No Content"));
@@ -30,12 +31,13 @@
 
 }  // namespace
 
-// Written milliseconds after the first, it was read as the proof that the next request had not run.
-TEST_CASE("Repeat: a refusal that comes a second time, late, proves nothing of the next request") {
+// Guards against a duplicate refusal, written milliseconds after the first on the same connection, being
+// taken as proof that the next request on that connection had not run.
+TEST_CASE("Repeat: a late duplicate of a refusal is not applied to the next request") {
   Record seen;
   std::atomic<bool> refused{false};
-  Peer reader(serve_reads);
-  Peer writer([&](Wire& wire) {
+  Peer prefill(serve_prefill);
+  Peer decode([&](Wire& wire) {
     std::optional<Clock::time_point> answered;
     while (const auto message = wire.receive()) {
       if (!is_request(*message)) {
@@ -43,27 +45,29 @@
         continue;
       }
       if (!refused.exchange(true)) {
-        wire.send(turned_away("410 Gone"));
+        wire.send(refusal("410 Gone"));
         answered = Clock::now();
         continue;
       }
       seen.add("executed");
-      // The second answer is written only now, but within the time in which instances do that.
-      if (answered && Clock::now() - *answered < 45ms) wire.send(turned_away("410 Gone"));
+      // The duplicate is written only now, but within the 45 ms in which real instances may write one.
+      if (answered && Clock::now() - *answered < 45ms) wire.send(refusal("410 Gone"));
       wire.send(events({"[DONE]"}));
     }
   });
-  Platform platform({{"r", "lectura", reader.address()}, {"w", "escritura", writer.address()}});
+  Platform platform({{"r", "lectura", prefill.address()}, {"w", "escritura", decode.address()}});
   const std::string answer = platform.ask(client_request("once", "ajuste", 5000, 6000));
   CHECK(answer.starts_with("HTTP/1.1 200"));
   CHECK(seen.count("executed") == 1);
 }
 
-// The close of a connection is heard one trip later, which loopback hides: so the time is measured from the
-// moment in which the first instance hears of it. Of five, for a busy machine may wake that one late.
-TEST_CASE("Repeat: a read is sent on only some time after the end of the one given up") {
+// A prefill must be resent only after the first instance can have seen the close of its connection, which
+// takes one network trip that loopback hides. The time is therefore measured from the moment in which the
+// first instance sees the close. The longest of five waits counts, because a busy machine may wake that
+// instance late.
+TEST_CASE("Repeat: a prefill is resent only some time after the abandoned attempt has ended") {
   std::mutex mutex;
-  std::map<std::string, Clock::time_point> heard;  // by request: when its first instance heard of the end
+  std::map<std::string, Clock::time_point> closed_at;  // by request: when its first instance saw the close
   std::vector<Clock::duration> waits;
   std::set<std::string> begun;
   const auto script = [&](Wire& wire) {
@@ -77,51 +81,52 @@
       std::unique_lock lock(mutex);
       if (begun.insert(name).second) {
         lock.unlock();
-        wire.send("no HTTP\r\n");  // the program gives the attempt up
+        wire.send("no HTTP\r\n");  // makes the program abandon the attempt
         (void)wire.closed_within(3000);
         const auto end = Clock::now();
         lock.lock();
-        heard[name] = end;
+        closed_at[name] = end;
         return;
       }
-      if (heard.contains(name)) waits.push_back(now - heard[name]);
+      if (closed_at.contains(name)) waits.push_back(now - closed_at[name]);
       wire.send(simple("202 Accepted", "{\"cached_tokens\":0}"));
     }
   };
   Peer first(script), second(script);
-  Peer writer([](Wire& wire) {
+  Peer decode([](Wire& wire) {
     while (const auto message = wire.receive()) {
       wire.send(is_request(*message) ? events({"[DONE]"}) : simple("204 No Content"));
     }
   });
   Platform platform({{"r1", "lectura", first.address()},
                      {"r2", "lectura", second.address()},
-                     {"w", "escritura", writer.address()}});
+                     {"w", "escritura", decode.address()}});
   for (int i = 0; i < 5; ++i)
     (void)platform.ask(client_request("t" + std::to_string(i), "ajuste", 3000, 6000));
   REQUIRE_FALSE(waits.empty());
   CHECK(*std::ranges::max_element(waits) >= 8ms);
 }
 
-// Its line left out the kind: taken for a reader, where an attempt has no effect, it was followed by another.
-TEST_CASE("Repeat: an instance whose line of the list names no kind is not taken for a reader") {
+// Guards against an instance whose list entry has no kind being taken for a prefill instance: an attempt
+// there has no effect, so it was followed by another one.
+TEST_CASE("Repeat: an instance without a kind in the list is not taken for a prefill instance") {
   Record seen;
-  Peer breaks([&](Wire& wire) {
+  Peer resetting([&](Wire& wire) {
     if (const auto message = wire.receive(); message && is_request(*message)) seen.add("executed");
     wire.reset();
   });
-  Platform platform({{"w", "mixto", breaks.address()}});
-  nlohmann::json line = nlohmann::json::parse(
-      Platform::line(2, false, {{"w", "mixto", breaks.address()}, {"v", "escritura", breaks.address()}}));
+  Platform platform({{"w", "mixto", resetting.address()}});
+  nlohmann::json line = nlohmann::json::parse(Platform::line(
+      2, false, {{"w", "mixto", resetting.address()}, {"v", "escritura", resetting.address()}}));
   for (auto& server : line["servers"]) server.erase("kind");
   platform.push(line.dump());
-  platform.push(Platform::line(3, false, {{"x", "escritura", breaks.address()}}));
+  platform.push(Platform::line(3, false, {{"x", "escritura", resetting.address()}}));
   const std::string answer = platform.ask(client_request("once", "ajuste", 2000, 6000));
   CHECK(answer.starts_with("HTTP/1.1 502"));
   CHECK(seen.count("executed") == 1);
 }
 
-// ---- Drawn faults ----
+// ---- Random faults ----
 
 namespace {
 
@@ -130,12 +135,12 @@
   close_before_reading,
   close_within_request,
   reset_after_request,
-  refusal,          // true: not executed
-  early_refusal,    // true: before the request's last byte
-  state_gone,       // true: not executed
-  bare_503,         // may have executed
-  refusal_cut,      // its head is not whole
-  interim_refusal,  // an interim head with the word of a refusal, then a break
+  refusal,          // genuine: the request is not executed
+  early_refusal,    // genuine: sent before the last byte of the request
+  state_gone,       // genuine: the request is not executed
+  bare_503,         // the request may have been executed
+  refusal_cut,      // the response headers are incomplete
+  interim_refusal,  // an interim response with the refusal header, then a close
   error,
   head_cut,
   stream_without_event,
@@ -147,11 +152,11 @@
 
 constexpr int kEffects = 3;
 const char* const kLanes[kEffects] = {"consulta", "nota", "ajuste"};
-const std::string kReadCut = "HTTP/1.1 202 Accepted\r\nContent-Length: 19\r\n\r\n{\"cac";
-constexpr auto kWindow = 400ms;  // of the class that is deduplicated
+const std::string kTruncatedPrefillAnswer = "HTTP/1.1 202 Accepted\r\nContent-Length: 19\r\n\r\n{\"cac";
+constexpr auto kRepeatWindow = 400ms;  // of the class with the effect `deduplicated`
 
-// The merged record: what was executed, where and when, and what each client was answered.
-class Ledger {
+// Which requests the instances executed, and when.
+class ExecutionRecord {
  public:
   void executed(const std::string& name) {
     const std::lock_guard lock(mutex_);
@@ -161,7 +166,7 @@
     const std::lock_guard lock(mutex_);
     return executions_[name];
   }
-  // How often each was executed, together with the repeats that its client made under names of their own.
+  // How often each request was executed, including repeats that its client made under other names.
   std::map<std::string, std::size_t> by_request() {
     const std::lock_guard lock(mutex_);
     std::map<std::string, std::size_t> times;
@@ -174,28 +179,31 @@
   std::map<std::string, std::vector<Clock::time_point>> executions_;
 };
 
-// An instance with a fault drawn for each request that comes to it; `reads`: it only reads prompts.
+// An instance with a random fault for each request it receives. `prefill_only`: it is a prefill instance.
 class FaultyInstance {
  public:
-  FaultyInstance(Ledger& ledger, bool reads, std::uint32_t seed)
-      : ledger_(ledger), reads_(reads), draw_(seed), peer_([this](Wire& wire) { serve(wire); }) {}
+  FaultyInstance(ExecutionRecord& record, bool prefill_only, std::uint32_t seed)
+      : record_(record),
+        prefill_only_(prefill_only),
+        generator_(seed),
+        peer_([this](Wire& wire) { serve(wire); }) {}
   [[nodiscard]] std::string address() const { return peer_.address(); }
 
  private:
-  Fault draw() {
+  Fault next_fault() {
     const std::lock_guard lock(mutex_);
-    if (draw_() % 5 < 2) return Fault::none;
-    return Fault(draw_() % std::uint32_t(Fault::count));
+    if (generator_() % 5 < 2) return Fault::none;
+    return Fault(generator_() % std::uint32_t(Fault::count));
   }
 
   void serve(Wire& wire) {
     while (true) {
-      const Fault fault = draw();
+      const Fault fault = next_fault();
       if (fault == Fault::close_before_reading) return;
       if (fault == Fault::close_within_request || fault == Fault::early_refusal) {
         (void)wire.receive_head();
-        if (fault == Fault::early_refusal) wire.send(turned_away("503 Service Unavailable"));
-        return wire.reset();  // what follows the head is not executed
+        if (fault == Fault::early_refusal) wire.send(refusal("503 Service Unavailable"));
+        return wire.reset();  // the request is not executed without its body
       }
       const auto message = wire.receive();
       if (!message) return;
@@ -207,16 +215,16 @@
     }
   }
 
-  // False where the connection is over.
+  // False if the connection has ended.
   bool answer(Wire& wire, const Message& message, Fault fault) {
     const bool refused = fault == Fault::refusal || fault == Fault::state_gone;
-    if (!reads_ && !refused) ledger_.executed(message.headers.at("x-txn"));
+    if (!prefill_only_ && !refused) record_.executed(message.headers.at("x-txn"));
     switch (fault) {
       case Fault::refusal:
-        wire.send(turned_away("503 Service Unavailable"));
+        wire.send(refusal("503 Service Unavailable"));
         return true;
       case Fault::state_gone:
-        wire.send(turned_away("410 Gone"));
+        wire.send(refusal("410 Gone"));
         return true;
       case Fault::bare_503:
         wire.send(simple("503 Service Unavailable"));
@@ -234,10 +242,10 @@
         wire.send("HTTP/1.1 200 O");
         return false;
       case Fault::stream_without_event:
-        wire.send(reads_ ? kReadCut : stream_head());
+        wire.send(prefill_only_ ? kTruncatedPrefillAnswer : stream_head());
         return false;
       case Fault::stream_cut:
-        wire.send(reads_ ? kReadCut : stream_head() + chunk("data: a\n\n"));
+        wire.send(prefill_only_ ? kTruncatedPrefillAnswer : stream_head() + chunk("data: a\n\n"));
         return false;
       case Fault::noise:
         wire.send("}{ 503 X-Turned-Away: 1\r\n\r\n");
@@ -249,15 +257,15 @@
         wire.reset();
         return false;
       default:
-        wire.send(reads_ ? simple("202 Accepted", "{\"cached_tokens\":0}") : events({"a", "[DONE]"}));
+        wire.send(prefill_only_ ? simple("202 Accepted", "{\"cached_tokens\":0}") : events({"a", "[DONE]"}));
         return true;
     }
   }
 
-  Ledger& ledger_;
-  bool reads_;
+  ExecutionRecord& record_;
+  bool prefill_only_;
   std::mutex mutex_;
-  std::mt19937 draw_;
+  std::mt19937 generator_;
   Peer peer_;
 };
 
@@ -267,23 +275,24 @@
   nlohmann::json note = classes[1];
   note["name"] = kLanes[1];
   note["effect"] = "deduplicated";
-  note["windowS"] = std::chrono::duration<double>(kWindow).count();
+  note["windowS"] = std::chrono::duration<double>(kRepeatWindow).count();
   classes.push_back(note);
   settings["familyInfo"]["aimUsPer1000PromptTokens"].push_back(40000.0);
   settings["familyInfo"]["tokenAimS"].push_back(0.08);
   return settings;
 }
 
-// What rule 2 says of one request's executions and its answer.
-void check_rules(Ledger& ledger, const std::string& name, int effect, const std::string& answer) {
+// Checks one request's executions and its answer against the effect of its class (rule 2): at most one
+// execution for ajuste, and repeats only within the window for the deduplicated class.
+void check_rules(ExecutionRecord& record, const std::string& name, int effect, const std::string& answer) {
   CAPTURE(name, kLanes[effect], answer);
-  const auto executions = ledger.executions(name);
-  // One final answer: a head, and no second one behind it.
+  const auto executions = record.executions(name);
+  // Exactly one final answer.
   CHECK(answer.starts_with("HTTP/1.1 "));
   CHECK(answer.find("HTTP/1.1 ", 9) == std::string::npos);
   if (answer.starts_with("HTTP/1.1 200")) CHECK_FALSE(executions.empty());
   if (effect == 1 && executions.size() > 1) {
-    CHECK(executions.back() - executions.front() < kWindow + 50ms);
+    CHECK(executions.back() - executions.front() < kRepeatWindow + 50ms);
   }
   if (effect != 2) return;
   CHECK(executions.size() <= 1);
@@ -292,16 +301,16 @@
 
 }  // namespace
 
-TEST_CASE("Repeat: drawn faults at every step never execute twice what must not be repeated") {
+TEST_CASE("Repeat: random faults at every step never execute an at-most-once request twice") {
   constexpr int kClients = 6, kEach = 30;
   for (const std::uint32_t seed : {11U, 12U}) {
     CAPTURE(seed);
-    Ledger ledger;
+    ExecutionRecord record;
     std::vector<std::unique_ptr<FaultyInstance>> instances;
     std::vector<Platform::Instance> listed;
     for (std::uint32_t i = 0; i < 5; ++i) {
       const char* const kind = i < 2 ? "lectura" : i < 4 ? "escritura" : "mixto";
-      instances.push_back(std::make_unique<FaultyInstance>(ledger, i < 2, 100 * seed + i));
+      instances.push_back(std::make_unique<FaultyInstance>(record, i < 2, 100 * seed + i));
       listed.push_back({"s" + std::to_string(i), kind, instances.back()->address()});
     }
     Platform platform(listed, settings_with_three_effects());
@@ -309,10 +318,10 @@
     std::vector<std::thread> clients;
     for (int c = 0; c < kClients; ++c) {
       clients.emplace_back([&, c] {
-        std::mt19937 draw(1000 * seed + std::uint32_t(c));
+        std::mt19937 generator(1000 * seed + std::uint32_t(c));
         for (int i = c * kEach; i < (c + 1) * kEach; ++i) {
-          const int prompt = draw() % 2 == 0 ? 100 : 6000;
-          const std::string body(draw() % 4 == 0 ? 200'000 : 20, 'x');
+          const int prompt = generator() % 2 == 0 ? 100 : 6000;
+          const std::string body(generator() % 4 == 0 ? 200'000 : 20, 'x');
           answers[std::size_t(i)] = platform.ask(
               client_request("t" + std::to_string(i), kLanes[i % kEffects], 700, prompt, "", body));
         }
@@ -320,29 +329,30 @@
     }
     for (std::thread& client : clients) client.join();
     for (int i = 0; i < kClients * kEach; ++i) {
-      check_rules(ledger, "t" + std::to_string(i), i % kEffects, answers[std::size_t(i)]);
+      check_rules(record, "t" + std::to_string(i), i % kEffects, answers[std::size_t(i)]);
     }
   }
 }
 
-// ---- Processes that end and start ----
+// ---- Restarting processes ----
 
 namespace {
 
-// A client of several processes, as the protocol page has it: a connection that ends without a word brings
-// the same request once more to another process, a refusal a new request with a name of its own.
+// A client of several processes that follows the protocol documentation: after a connection that ends without
+// an answer it sends the same request once more to another process, after a refusal a new request with a new
+// name.
 class FleetClient {
  public:
   FleetClient(const std::vector<std::string>& addresses, std::uint32_t seed)
-      : addresses_(addresses), draw_(seed) {}
+      : addresses_(addresses), generator_(seed) {}
 
   void ask(const std::string& name) {
     std::string txn = name;
     bool sent_again = false;
     for (int attempt = 0; attempt < 5; ++attempt) {
-      const auto wire = Wire::to(addresses_[draw_() % addresses_.size()]);
-      if (wire == nullptr) continue;  // a process that is down
-      wire->send(client_request(txn, "ajuste", 700, draw_() % 2 == 0 ? 100 : 6000));
+      const auto wire = Wire::to(addresses_[generator_() % addresses_.size()]);
+      if (wire == nullptr) continue;  // the process is down
+      wire->send(client_request(txn, "ajuste", 700, generator_() % 2 == 0 ? 100 : 6000));
       const std::string answer = wire->receive_all();
       if (answer.empty()) {
         if (std::exchange(sent_again, true)) return;
@@ -356,24 +366,24 @@
 
  private:
   const std::vector<std::string>& addresses_;
-  std::mt19937 draw_;
+  std::mt19937 generator_;
 };
 
 }  // namespace
 
-TEST_CASE("Fleet: processes that restart in turn never execute twice what must not be repeated") {
+TEST_CASE("Fleet: processes that restart in turn never execute an at-most-once request twice") {
   constexpr int kProcesses = 3, kClients = 6;
   constexpr std::uint32_t kSeed = 21;
-  Ledger ledger;
+  ExecutionRecord record;
   std::vector<std::unique_ptr<FaultyInstance>> instances;
   std::vector<Platform::Instance> listed;
   for (std::uint32_t i = 0; i < 5; ++i) {
     const char* const kind = i < 2 ? "lectura" : i < 4 ? "escritura" : "mixto";
-    instances.push_back(std::make_unique<FaultyInstance>(ledger, i < 2, kSeed + i));
+    instances.push_back(std::make_unique<FaultyInstance>(record, i < 2, kSeed + i));
     listed.push_back({"s" + std::to_string(i), kind, instances.back()->address()});
   }
   nlohmann::json settings = site_settings();
-  for (auto& c : settings["categories"]) c["deadlineS"] = 1.0;  // what is left at the end is given up soon
+  for (auto& c : settings["categories"]) c["deadlineS"] = 1.0;  // unfinished requests fail soon after the end
   Platform platform(listed, settings);
   std::vector<std::string> addresses{platform.address()};
   std::vector<std::unique_ptr<Program>> programs(kProcesses);
@@ -404,7 +414,7 @@
   over = true;
   for (std::thread& client : clients) client.join();
   CHECK(asked > kClients);
-  for (const auto& [name, times] : ledger.by_request()) {
+  for (const auto& [name, times] : record.by_request()) {
     CAPTURE(name);
     CHECK(times == 1);
   }
