--- a/src/app/console.hpp
+++ b/src/app/console.hpp
@@ -1,4 +1,4 @@
-// The operator's terminal: fleet, load, requests and drains, drawn anew each second.
+// Terminal console for operators: shows instances, load, requests and drains, refreshed every second.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -6,12 +6,13 @@
 
 namespace bankmux::app {
 
-// One picture as lines of text; `selected` is the box under the cursor, -1 for none. Throws nlohmann's
-// exceptions where `status` is not what /-/status gives.
-std::string draw(const nlohmann::json& status, int columns, int selected);
+// Renders the JSON of /-/status as lines of at most `columns` characters. `selected` is the index of the
+// highlighted instance, -1 for none. Throws nlohmann::json exceptions if `status` lacks an expected field.
+std::string render_status(const nlohmann::json& status, int columns, int selected);
 
-// Shows the appliance whose operator's page listens at `address`. With `once`, or where standard output is no
-// terminal, prints one picture and ends. Returns the exit code.
+// Shows the appliance whose operator page listens at `address`. With `once`, or if standard input or output
+// is not a terminal, prints the status once and returns. Returns the exit code: 0 success, 1 no valid answer,
+// 2 invalid address.
 int console(const std::string& address, bool once);
 
 }  // namespace bankmux::app
--- a/src/app/cpu_watch.cpp
+++ b/src/app/cpu_watch.cpp
@@ -13,11 +13,12 @@
 
 namespace {
 
-constexpr core::Duration kLookEvery = 1s;
-constexpr double kNearly = 0.8;  // of the grant, from which a second is worth a line
-constexpr double kDearer = 1.1;  // times the dearest so far: a busy hour is one line or two, not thousands
+constexpr core::Duration kSampleInterval = 1s;
+constexpr double kWarnFraction = 0.8;  // of the budget, above which a warning is logged
+constexpr double kRelogFactor = 1.1;  // over the highest value logged so far, so that a busy hour logs one or
+                                      // two lines instead of thousands
 
-core::Duration used_so_far() {
+core::Duration process_cpu_time() {
   rusage usage{};
   getrusage(RUSAGE_SELF, &usage);
   const auto time = [](const timeval& t) { return core::Duration(t.tv_sec * 1'000'000 + t.tv_usec); };
@@ -26,29 +27,32 @@
 
 }  // namespace
 
-CpuWatch::CpuWatch(core::Scheduler& scheduler, core::Duration a_second)
-    : scheduler_(scheduler), a_second_(a_second) {
-  if (a_second_.count() <= 0) return;
-  at_ = scheduler_.now();
-  used_ = used_so_far();
-  next_ = scheduler_.at(at_ + kLookEvery, [this] { look(); });
+CpuMonitor::CpuMonitor(core::Scheduler& scheduler, core::Duration budget_per_second)
+    : scheduler_(scheduler), budget_per_second_(budget_per_second) {
+  if (budget_per_second_.count() <= 0) return;
+  last_sample_at_ = scheduler_.now();
+  last_cpu_time_ = process_cpu_time();
+  next_sample_ = scheduler_.at(last_sample_at_ + kSampleInterval, [this] { sample(); });
 }
 
-void CpuWatch::look() {
+void CpuMonitor::sample() {
   const core::Time now = scheduler_.now();
-  const core::Duration used = used_so_far();
-  // A loop that came late has measured more than a second.
-  const double passed = double((now - at_).count()) / double(std::chrono::microseconds(kLookEvery).count());
-  const core::Duration second(std::int64_t(double((used - used_).count()) / (passed > 1.0 ? passed : 1.0)));
-  if (double(second.count()) > kNearly * double(a_second_.count()) &&
-      double(second.count()) > kDearer * double(dearest_.count())) {
-    dearest_ = second;
-    log::write("cpu", "a second took " + std::to_string(second.count() / 1000) + " ms of processor time; " +
-                          std::to_string(a_second_.count() / 1000) + " ms are granted");
+  const core::Duration cpu_time = process_cpu_time();
+  // If the loop is late, the sample covers more than one second.
+  const double elapsed_intervals =
+      double((now - last_sample_at_).count()) / double(std::chrono::microseconds(kSampleInterval).count());
+  const core::Duration cpu_per_second(std::int64_t(double((cpu_time - last_cpu_time_).count()) /
+                                                   (elapsed_intervals > 1.0 ? elapsed_intervals : 1.0)));
+  if (double(cpu_per_second.count()) > kWarnFraction * double(budget_per_second_.count()) &&
+      double(cpu_per_second.count()) > kRelogFactor * double(highest_logged_.count())) {
+    highest_logged_ = cpu_per_second;
+    log::write("cpu", "used " + std::to_string(cpu_per_second.count() / 1000) +
+                          " ms of CPU time in one second; the budget is " +
+                          std::to_string(budget_per_second_.count() / 1000) + " ms");
   }
-  at_ = now;
-  used_ = used;
-  next_ = scheduler_.at(now + kLookEvery, [this] { look(); });
+  last_sample_at_ = now;
+  last_cpu_time_ = cpu_time;
+  next_sample_ = scheduler_.at(now + kSampleInterval, [this] { sample(); });
 }
 
 }  // namespace bankmux::app
--- a/src/app/cpu_watch.hpp
+++ b/src/app/cpu_watch.hpp
@@ -1,5 +1,5 @@
-// Measures this process's processor time against what the site grants it, and says so before it is overdrawn:
-// what a conductor needs beyond its part makes all its answers of that second late.
+// Compares this process's CPU time per second with the budget that the site grants it and logs a warning
+// before the budget is exceeded: a conductor that exceeds it delays all its answers of that second.
 #pragma once
 
 #include <memory>
@@ -8,22 +8,23 @@
 
 namespace bankmux::app {
 
-class CpuWatch {
+class CpuMonitor {
  public:
-  // `a_second`: granted in each second of the clock; 0: not told, and nothing is measured.
-  CpuWatch(core::Scheduler& scheduler, core::Duration a_second);
-  CpuWatch(const CpuWatch&) = delete;
-  CpuWatch& operator=(const CpuWatch&) = delete;
+  // `budget_per_second`: CPU time granted per second of wall-clock time; 0: no budget is configured and
+  // nothing is measured.
+  CpuMonitor(core::Scheduler& scheduler, core::Duration budget_per_second);
+  CpuMonitor(const CpuMonitor&) = delete;
+  CpuMonitor& operator=(const CpuMonitor&) = delete;
 
  private:
-  void look();
+  void sample();
 
   core::Scheduler& scheduler_;
-  core::Duration a_second_;
-  core::Time at_{0};
-  core::Duration used_{0};
-  core::Duration dearest_{0};  // that has been logged
-  std::unique_ptr<core::Timer> next_;
+  core::Duration budget_per_second_;
+  core::Time last_sample_at_{0};
+  core::Duration last_cpu_time_{0};
+  core::Duration highest_logged_{0};  // highest CPU time per second that has been logged
+  std::unique_ptr<core::Timer> next_sample_;
 };
 
 }  // namespace bankmux::app
--- a/src/app/fleet_work.hpp
+++ b/src/app/fleet_work.hpp
@@ -1,5 +1,5 @@
-// The appliance's part in a fleet on one machine: its duties over the store, what it makes of the prober's
-// report, and operators' words that count for all.
+// Coordination between the appliance processes on one machine through a shared store: ownership of duties,
+// probe reports of the process that holds the probing duty, and drains that apply to all processes.
 #pragma once
 
 #include <functional>
@@ -15,29 +15,29 @@
 
 namespace bankmux::app {
 
-class FleetWork {
+class FleetCoordination {
  public:
-  FleetWork(net::Loop& loop, const config::Coordination& settings, core::Duration check_every,
-            net::BoxWatch& boxes, net::OperatorPage& page);
-  FleetWork(const FleetWork&) = delete;
-  FleetWork& operator=(const FleetWork&) = delete;
+  FleetCoordination(net::Loop& loop, const config::Coordination& settings, core::Duration check_every,
+                    net::BoxWatch& boxes, net::OperatorPage& page);
+  FleetCoordination(const FleetCoordination&) = delete;
+  FleetCoordination& operator=(const FleetCoordination&) = delete;
 
-  // Before this process ends: others take its duties over at once.
+  // Gives up this process's duties at shutdown, so that other processes take them over at once.
   void leave() {
     runner_.leave([] {});
   }
 
  private:
-  void state(const std::vector<coordination::Entry>& entries);
-  void publish(const std::map<std::string, bool>& runs);
+  void apply_entries(const std::vector<coordination::Entry>& entries);
+  void publish_report(const std::map<std::string, bool>& runs);
 
   net::Loop& loop_;
   net::BoxWatch& boxes_;
   net::Mailbox mailbox_;
   coordination::SqliteStore store_;
-  duties::FleetView view_;
+  duties::FleetView probe_reports_;
   duties::DutyRunner runner_;
-  std::uint64_t reports_ = 0;
+  std::uint64_t report_number_ = 0;
   bool publishing_ = false;
 };
 
--- a/src/app/key_command.cpp
+++ b/src/app/key_command.cpp
@@ -22,25 +22,25 @@
   return text;
 }
 
-std::vector<admission::Key> existing(const std::string& file) {
+std::vector<admission::Key> load_keys(const std::string& file) {
   struct stat status {};
-  if (::stat(file.c_str(), &status) != 0) return {};  // the first key makes the file
+  if (::stat(file.c_str(), &status) != 0) return {};  // `key add` creates the file with the first key
   return config::read_keys(file);
 }
 
 std::string limits_text(const admission::Key& key) {
-  const auto part = [](std::int64_t value, const char* unit) {
+  const auto limit = [](std::int64_t value, const char* unit) {
     return value > 0 ? std::to_string(value) + " " + unit : std::string("-");
   };
-  return part(key.limits.requests_per_minute, "req/min") + ", " +
-         part(key.limits.tokens_per_minute, "tok/min") + ", " + part(key.limits.open, "open");
+  return limit(key.limits.requests_per_minute, "req/min") + ", " +
+         limit(key.limits.tokens_per_minute, "tok/min") + ", " + limit(key.limits.open, "open");
 }
 
 }  // namespace
 
 int key_command(const KeyOrder& order) {
   if (sodium_init() < 0) throw std::runtime_error("libsodium cannot start");
-  std::vector<admission::Key> keys = existing(order.file);
+  std::vector<admission::Key> keys = load_keys(order.file);
   if (order.action == "list") {
     if (order.json) {
       nlohmann::json list = config::keys_json(keys)["keys"];
@@ -61,8 +61,8 @@
     return 0;
   }
   if (order.action == "revoke") {
-    const auto gone = std::erase_if(keys, [&](const admission::Key& key) { return key.id == order.id; });
-    if (gone == 0) {
+    const auto erased = std::erase_if(keys, [&](const admission::Key& key) { return key.id == order.id; });
+    if (erased == 0) {
       std::fprintf(stderr, "bankmux: no key '%s' in %s\n", order.id.c_str(), order.file.c_str());
       return 1;
     }
@@ -79,7 +79,7 @@
   const std::string secret = random_hex(admission::kSecretBytes);
   key.hash = admission::hash_secret(key.salt, secret);
   keys.push_back(key);
-  // Checked as a file that is read would be, so that a faulty tenant name is refused here.
+  // Validates the new key like one read from a file, so that an invalid tenant name is rejected here.
   (void)config::parse_keys(config::keys_json(keys));
   config::write_keys(order.file, keys);
   std::printf("%s\n", admission::join_key(key.id, secret).c_str());
--- a/src/app/operations.cpp
+++ b/src/app/operations.cpp
@@ -11,75 +11,80 @@
 
 namespace {
 
-// Figures and calls come every second or two; callers that say nothing hold a place until it is needed.
-constexpr std::size_t kConnections = 24;
-constexpr std::size_t kBodies = 256 * 1024;   // of all; no call has one
-constexpr core::Duration kLookEvery = 100ms;  // a change by another process counts within this
-// The front goes on sending for 0.2 s after it has heard no, clients for as long as their connections are
-// open.
-constexpr core::Duration kCloseIdleAfter = 500ms;
-// Of a new connection that brings no request: what asks for readiness does so at once.
-constexpr core::Duration kSilent = 1s;
+// Metrics requests and commands arrive every second or two. An idle connection keeps its slot until another
+// connection needs it.
+constexpr std::size_t kMaxConnections = 24;
+constexpr std::size_t kMaxBodyBytes = 256 * 1024;  // of all connections together; no command has a body
+constexpr core::Duration kPollInterval = 100ms;  // upper bound until a change by another process takes effect
+// The platform's front layer keeps sending for 0.2 s after a negative readiness answer, and clients keep
+// sending for as long as their connections are open.
+constexpr core::Duration kIdleCloseDelay = 500ms;
+// Age from which a connection without a request counts as idle; readiness checks send theirs at once.
+constexpr core::Duration kIdleThreshold = 1s;
 
 }  // namespace
 
-Operations::Operations(net::Loop& loop, core::Conductor& conductor, net::PlatformFront& front,
-                       const config::Config& config, const std::string& folder)
+PlatformManagement::PlatformManagement(net::Loop& loop, core::Conductor& conductor, net::PlatformFront& front,
+                                       const config::Config& config, const std::string& folder)
     : loop_(loop),
       conductor_(conductor),
       front_(front),
-      file_(folder + "/bankmux-" + config.name + "-out"),
+      maintenance_file_(folder + "/bankmux-" + config.name + "-out"),
       page_(conductor, config.classes,
-            {[this] { return clients_ != nullptr && !draining_ && !ending_; }, [this](bool on) { drain(on); },
-             [this](const std::string& id, bool out) { return maintain(id, out); }}),
+            {[this] { return client_server_ != nullptr && !draining_since_ && !shutting_down_; },
+             [this](bool on) { drain(on); },
+             [this](const std::string& id, bool out_of_rotation) { return maintain(id, out_of_rotation); }}),
       server_(loop, config.mgmt,
               [this](std::unique_ptr<net::Incoming> incoming) { page_.handle(std::move(incoming)); },
-              {.connections = kConnections, .body_bytes = kBodies, .one_fault = true}) {
+              {.connections = kMaxConnections, .body_bytes = kMaxBodyBytes, .one_fault = true}) {
   server_.wind_down();  // one call per connection
-  read_file();
-  look();
+  load_file();
+  poll();
 }
 
-void Operations::drain(bool on) {
-  if (on == draining_.has_value()) return;
-  log::write("drain", on ? "taking no new clients until resumed" : "taking clients again");
-  draining_ = on ? std::optional(loop_.now()) : std::nullopt;
+void PlatformManagement::drain(bool on) {
+  if (on == draining_since_.has_value()) return;
+  log::write("drain",
+             on ? "draining: no new clients are accepted until resume" : "resumed: accepting clients");
+  draining_since_ = on ? std::optional(loop_.now()) : std::nullopt;
   front_.set_ready(!on);
-  if (clients_ != nullptr) clients_->wind_down(on);
+  if (client_server_ != nullptr) client_server_->wind_down(on);
 }
 
-// The file first: another process of this conductor may be the one that serves by the time of the yes.
-bool Operations::maintain(const std::string& id, bool out) {
-  operations::Ids now;
-  const bool written = file_.update([&](const std::string& before) -> std::optional<std::string> {
-    const auto ids = before.empty() ? operations::Ids{} : operations::decode(before);
-    if (!ids) return std::nullopt;
-    now = *ids;
-    if (out ? now.size() >= operations::kMostOut : !now.contains(id)) return before;
-    out ? void(now.insert(id)) : void(now.erase(id));
-    return operations::encode(now);
-  });
-  log::write("maintenance", id + (out ? " out" : " back") + (written ? "" : ": could not be written down"));
-  if (!written || (out && !now.contains(id))) return false;
-  conductor_.maintain(std::move(now));
+// Writes the file before answering, because another process of this conductor may already be the serving one.
+bool PlatformManagement::maintain(const std::string& id, bool out_of_rotation) {
+  operations::Ids updated;
+  const bool written =
+      maintenance_file_.update([&](const std::string& current) -> std::optional<std::string> {
+        const auto ids = current.empty() ? operations::Ids{} : operations::decode(current);
+        if (!ids) return std::nullopt;
+        updated = *ids;
+        if (out_of_rotation ? updated.size() >= operations::kMostOut : !updated.contains(id)) return current;
+        out_of_rotation ? void(updated.insert(id)) : void(updated.erase(id));
+        return operations::encode(updated);
+      });
+  log::write("maintenance", id + (out_of_rotation ? " taken out of rotation" : " put back into rotation") +
+                                (written ? "" : ": cannot write the maintenance file"));
+  if (!written || (out_of_rotation && !updated.contains(id))) return false;
+  conductor_.maintain(std::move(updated));
   return true;
 }
 
-void Operations::read_file() {
-  const std::optional<std::string> text = file_.read();
+void PlatformManagement::load_file() {
+  const std::optional<std::string> text = maintenance_file_.read();
   if (text && text->empty()) return;
   const auto ids = text ? operations::decode(*text) : std::nullopt;
-  // What cannot be read says nothing: whatever is out stays out.
-  if (!ids) return log::write("maintenance", "the file of what is out cannot be read; nothing has changed");
+  // An unreadable file changes nothing: instances in maintenance stay out of rotation.
+  if (!ids) return log::write("maintenance", "cannot read the maintenance file; keeping the current state");
   conductor_.maintain(*ids);
 }
 
-void Operations::look() {
-  if (file_.changed()) read_file();
-  if (draining_ && clients_ != nullptr && loop_.now() - *draining_ >= kCloseIdleAfter) {
-    clients_->close_idle(kSilent);
+void PlatformManagement::poll() {
+  if (maintenance_file_.changed()) load_file();
+  if (draining_since_ && client_server_ != nullptr && loop_.now() - *draining_since_ >= kIdleCloseDelay) {
+    client_server_->close_idle(kIdleThreshold);
   }
-  next_ = loop_.at(loop_.now() + kLookEvery, [this] { look(); });
+  poll_timer_ = loop_.at(loop_.now() + kPollInterval, [this] { poll(); });
 }
 
 }  // namespace bankmux::app
--- a/src/app/operations.hpp
+++ b/src/app/operations.hpp
@@ -1,5 +1,5 @@
-// What operators do to a platform conductor by its second address: figures, maintenance, drain and resume;
-// and what it shares with the process that is to follow it.
+// The management address of a platform conductor: metrics, maintenance of instances, drain and resume. The
+// set of instances in maintenance is kept in a file that the conductor's next process reads too.
 #pragma once
 
 #include <memory>
@@ -17,36 +17,36 @@
 
 namespace bankmux::app {
 
-class Operations {
+class PlatformManagement {
  public:
-  // `folder`: where the file of what is out lies, for this process and its successors. Listens at
-  // `config.mgmt`; throws std::runtime_error where it cannot.
-  Operations(net::Loop& loop, core::Conductor& conductor, net::PlatformFront& front,
-             const config::Config& config, const std::string& folder);
-  Operations(const Operations&) = delete;
-  Operations& operator=(const Operations&) = delete;
-
-  // From now on this process takes clients, by this server.
-  void takes_clients(net::HttpServer& server) { clients_ = &server; }
-  // It has been told to end.
-  void ending() { ending_ = true; }
+  // `folder`: directory of the maintenance file, shared by this process and its successors. Listens at
+  // `config.mgmt`; throws std::runtime_error if it cannot.
+  PlatformManagement(net::Loop& loop, core::Conductor& conductor, net::PlatformFront& front,
+                     const config::Config& config, const std::string& folder);
+  PlatformManagement(const PlatformManagement&) = delete;
+  PlatformManagement& operator=(const PlatformManagement&) = delete;
+
+  // Sets the server that accepts clients; until then this process reports that it is not ready.
+  void set_client_server(net::HttpServer& server) { client_server_ = &server; }
+  // The process is shutting down and reports that it is not ready.
+  void set_shutting_down() { shutting_down_ = true; }
 
  private:
   void drain(bool on);
-  bool maintain(const std::string& id, bool out);
-  void read_file();
-  void look();
+  bool maintain(const std::string& id, bool out_of_rotation);
+  void load_file();
+  void poll();
 
   net::Loop& loop_;
   core::Conductor& conductor_;
   net::PlatformFront& front_;
-  SharedFile file_;
-  net::HttpServer* clients_ = nullptr;
-  std::optional<core::Time> draining_;
-  bool ending_ = false;
+  SharedFile maintenance_file_;
+  net::HttpServer* client_server_ = nullptr;
+  std::optional<core::Time> draining_since_;
+  bool shutting_down_ = false;
   net::ManagementPage page_;
   net::HttpServer server_;
-  std::unique_ptr<core::Timer> next_;
+  std::unique_ptr<core::Timer> poll_timer_;
 };
 
 }  // namespace bankmux::app
--- a/src/app/page_commands.hpp
+++ b/src/app/page_commands.hpp
@@ -1,5 +1,6 @@
-// `bankmux tenants`, `bankmux ledger show` and `bankmux duties`: one question to a serving appliance's
-// operator page. Exit codes: 0 answered, 1 nothing there or no answer, 2 a faulty address.
+// `bankmux tenants`, `bankmux ledger show` and `bankmux duties`: each sends one GET request to the operator
+// page of a running appliance and prints the result, as JSON or as text. They return the exit code: 0
+// success, 1 no entry found or no valid answer, 2 invalid address.
 #pragma once
 
 #include <string>
--- a/src/app/request_log.cpp
+++ b/src/app/request_log.cpp
@@ -11,7 +11,7 @@
 
 using Result = core::RequestRecord::Result;
 
-const char* word(Result result) {
+const char* label(Result result) {
   switch (result) {
     case Result::served:
       return "served";
@@ -31,7 +31,7 @@
   return "";
 }
 
-const char* word(eiderarch::Outcome outcome) {
+const char* label(eiderarch::Outcome outcome) {
   using eiderarch::Outcome;
   switch (outcome) {
     case Outcome::served:
@@ -56,7 +56,7 @@
   return "";
 }
 
-const char* word(core::Ending::Cause cause) {
+const char* label(core::Ending::Cause cause) {
   using Cause = core::Ending::Cause;
   switch (cause) {
     case Cause::refused:
@@ -73,21 +73,21 @@
   return "";
 }
 
-nlohmann::json ms(core::Duration time) {
+// Microseconds as whole milliseconds; null if the time is negative, that is, not known.
+nlohmann::json milliseconds(core::Duration time) {
   return time.count() < 0 ? nlohmann::json() : nlohmann::json(time.count() / 1000);
 }
 
-// Each attempt in a few words: a reader of the log sees what was written where, and whether anything came
-// back.
-nlohmann::json trail(const std::vector<core::AttemptRecord>& attempts) {
+// Lists the attempts: for each one its instance, times, outcome and whether any part of an answer arrived.
+nlohmann::json attempts_json(const std::vector<core::AttemptRecord>& attempts) {
   nlohmann::json list = nlohmann::json::array();
   for (const core::AttemptRecord& attempt : attempts) {
     list.push_back({{"box", attempt.server},
                     {"prefill", attempt.prefill},
-                    {"begun_ms", ms(attempt.begun)},
-                    {"written_ms", ms(attempt.written)},
-                    {"ended_ms", ms(attempt.ended)},
-                    {"end", word(attempt.outcome)},
+                    {"begun_ms", milliseconds(attempt.begun)},
+                    {"written_ms", milliseconds(attempt.written)},
+                    {"ended_ms", milliseconds(attempt.ended)},
+                    {"end", label(attempt.outcome)},
                     {"answered", attempt.answered}});
   }
   return list;
@@ -101,23 +101,23 @@
 
 core::Conductor::Observer request_log(std::vector<std::string> classes, std::vector<std::string> tenants) {
   return [classes = std::move(classes), tenants = std::move(tenants)](const core::RequestRecord& record) {
-    const eiderarch::RequestArrived& facts = record.ask.facts;
+    const eiderarch::RequestArrived& arrival = record.ask.facts;
     std::string tenant = record.ask.payload->tenant;
-    if (tenant.empty() && facts.tenant < tenants.size()) tenant = tenants[facts.tenant];
-    const bool known = facts.request_class < classes.size();
-    log::write("request", word(record.result), [&]() -> nlohmann::json {
+    if (tenant.empty() && arrival.tenant < tenants.size()) tenant = tenants[arrival.tenant];
+    const bool known_class = arrival.request_class < classes.size();
+    log::write("request", label(record.result), [&]() -> nlohmann::json {
       nlohmann::json fields = {
           {"request_id", record.ask.payload->id},
-          {"tenant", tenant.empty() ? nlohmann::json(facts.tenant) : nlohmann::json(tenant)},
-          {"class", known ? classes[facts.request_class] : "?"},
+          {"tenant", tenant.empty() ? nlohmann::json(arrival.tenant) : nlohmann::json(tenant)},
+          {"class", known_class ? classes[arrival.request_class] : "?"},
           {"box", record.box},
           {"attempts", record.attempts},
           {"may_have_run", record.ending.may_have_run},
-          {"prompt_tokens", facts.prompt_tokens},
-          {"first_ms", ms(record.first)},
-          {"total_ms", ms(record.total)},
-          {"trail", trail(record.trail)}};
-      if (ended_without_answer(record.result)) fields["why"] = word(record.ending.cause);
+          {"prompt_tokens", arrival.prompt_tokens},
+          {"first_ms", milliseconds(record.first)},
+          {"total_ms", milliseconds(record.total)},
+          {"trail", attempts_json(record.trail)}};
+      if (ended_without_answer(record.result)) fields["why"] = label(record.ending.cause);
       return fields;
     });
   };
--- a/src/app/request_log.hpp
+++ b/src/app/request_log.hpp
@@ -1,4 +1,4 @@
-// The one log line that ends each request, the same for both fronts.
+// Writes one log line at the end of each request, the same for both fronts.
 #pragma once
 
 #include <string>
@@ -8,7 +8,8 @@
 
 namespace bankmux::app {
 
-// `classes`: names, by the number that requests carry.
+// Returns the observer that writes the line. `classes` and `tenants` are names, indexed by the number that
+// requests carry; a tenant name in the request itself takes precedence.
 core::Conductor::Observer request_log(std::vector<std::string> classes,
                                       std::vector<std::string> tenants = {});
 
--- a/src/app/serve.cpp
+++ b/src/app/serve.cpp
@@ -31,170 +31,188 @@
 
 namespace {
 
-constexpr core::Duration kPlatformAccepting = 500ms;    // new connections keep coming for up to 0.4 s
-constexpr core::Duration kApplianceAccepting = 2500ms;  // balancers check every 2 s by default
-// SIGKILL comes no sooner after SIGTERM than the longest deadline, counted as 3 s at most, and 0.7 s.
-constexpr core::Duration kMostPatience = 3s;
-constexpr core::Duration kBeforeTheKill = 400ms;  // leaves 300 ms for the last answers and releases
-constexpr core::Duration kListWait = 2s;          // a successor's, for its first list from discovery
-constexpr std::size_t kMostTenants = 100'000;     // kept count of at once; about 20 MB if all come
-constexpr std::size_t kOwnSockets = 64;           // loop, log, discovery, listeners, some to spare
+// How long new connections are accepted after shutdown begins. On the platform they keep arriving for up to
+// 0.4 s.
+constexpr core::Duration kPlatformAcceptTime = 500ms;
+constexpr core::Duration kApplianceAcceptTime = 2500ms;  // load balancers check health every 2 s by default
+// SIGKILL follows SIGTERM after the longest deadline, counted as at most 3 s, plus 0.7 s at the earliest.
+constexpr core::Duration kMaxDeadline = 3s;
+// After the longest deadline; leaves 300 ms of the 0.7 s for the last answers and releases.
+constexpr core::Duration kAbandonMargin = 400ms;
+constexpr core::Duration kFirstListTimeout = 2s;  // of a process that takes over, for discovery's first list
+constexpr std::size_t kMaxTenants = 100'000;      // tracked at once; about 20 MB if all are in use
+constexpr std::size_t kReservedSockets = 64;      // for the loop, log, discovery, listeners and a reserve
 constexpr std::size_t kOperatorConnections = 16;
-constexpr std::size_t kLeastUploadRate = 256 * 1024;  // bytes a second; a slow office line brings twice that
-constexpr std::size_t kThrownAwayBodies = 8;  // bodies' worth of what nobody keeps, after a last answer
-constexpr core::Duration kThrowAwayFor = 10s;
-constexpr std::size_t kThrowAwayRate = 16 * 1024 * 1024;  // bytes a second: a few ms of the loop in each
+// Bytes per second; a slow office line delivers twice that.
+constexpr std::size_t kMinUploadRate = 256 * 1024;
+// After its last answer a connection may send up to this many maximal bodies more, which are read and
+// discarded.
+constexpr std::size_t kDiscardedBodies = 8;
+constexpr core::Duration kDiscardTime = 10s;
+// Bytes per second: costs the event loop a few ms in each second.
+constexpr std::size_t kDiscardRate = 16 * 1024 * 1024;
 
-// How many of each the process may hold, so that neither descriptors nor memory run out.
-struct Bounds {
+// How many of each resource the process may hold, so that neither descriptors nor memory run out.
+struct ResourceLimits {
   std::size_t instances, requests;
   net::ServerLimits clients;
-  Bounds(std::size_t sockets, std::size_t memory_mb) {
-    const std::size_t free = sockets > 2 * kOwnSockets ? sockets - kOwnSockets : sockets / 2;
-    // Clients hold at most a third of all descriptors by requests; the rest of their part is for those that
-    // only hold a connection. Each request needs one to an instance, and calls beside it.
-    clients.connections = free * 55 / 100;
-    instances = free - clients.connections;
-    // With few descriptors an open request could else find none for its instance.
+  ResourceLimits(std::size_t sockets, std::size_t memory_mb) {
+    const std::size_t available = sockets > 2 * kReservedSockets ? sockets - kReservedSockets : sockets / 2;
+    // Client connections with an open request use at most a third of all descriptors; the rest of the
+    // clients' share is for connections without one. Each request needs a connection to an instance, and more
+    // for calls beside it.
+    clients.connections = available * 55 / 100;
+    instances = available - clients.connections;
+    // Otherwise an open request might find no descriptor for its instance when there are few.
     requests = std::min({sockets / 3, instances, clients.connections});
-    // A body is held up to three times for a moment: read, kept for the next attempt, and on its way out.
+    // Up to three copies of a body exist for a moment: the one read, the one kept for the next attempt and
+    // the one being sent.
     clients.body_bytes = memory_mb * 1024 * 1024 / 5;
   }
 };
 
-std::string temporary_folder() {
+std::string temporary_directory() {
   const char* folder = std::getenv("TMPDIR");
   return folder != nullptr && *folder != '\0' ? folder : "/tmp";
 }
 
 void log_line(const char* topic, const std::string& text) { log::write(topic, text); }
 
-core::ConductorSettings core_settings(const eiderarch::Settings& module, const Bounds& bounds) {
+core::ConductorSettings core_settings(const eiderarch::Settings& module,
+                                      const ResourceLimits& resource_limits) {
   core::ConductorSettings settings;
   settings.module = module;
-  settings.max_requests = bounds.requests;
+  settings.max_requests = resource_limits.requests;
   return settings;
 }
 
-// Idle connections go before the instances' own limit: a request written just after that would be lost.
-net::PoolLimits pool_limits(core::Duration connect, core::Duration idle, const Bounds& bounds) {
-  return {connect, idle * 4 / 5, bounds.instances};
+// Closes idle connections before the instance's own idle timeout does: a request written just after that
+// would be lost.
+net::PoolLimits pool_limits(core::Duration connect, core::Duration idle,
+                            const ResourceLimits& resource_limits) {
+  return {connect, idle * 4 / 5, resource_limits.instances};
 }
 
-// Bodies of megabytes take their time, and a client that sends one too many hears its 413 only once it has
-// sent it.
+// Allows for bodies of megabytes, which take time to upload. A client that sends too large a body reads its
+// 413 only after sending all of it, so that the rest is read and discarded.
 net::ServerLimits chat_limits(net::ServerLimits limits, const config::Appliance& appliance) {
   limits.most_body = appliance.most_body;
-  limits.least_upload_rate = kLeastUploadRate;
-  limits.most_thrown_away = kThrownAwayBodies * appliance.most_body;
-  limits.throw_away_for = kThrowAwayFor;
-  limits.throw_away_rate = kThrowAwayRate;
+  limits.least_upload_rate = kMinUploadRate;
+  limits.most_thrown_away = kDiscardedBodies * appliance.most_body;
+  limits.throw_away_for = kDiscardTime;
+  limits.throw_away_rate = kDiscardRate;
   return limits;
 }
 
 void set_keys(admission::Door& door, const config::Appliance& appliance) {
   if (!appliance.keys) {
     door.keys(std::nullopt);
-    return log::write("keys", "no file of keys: whoever reaches the chat API may use all of it");
+    return log::write("keys", "no API key file configured: every client of the chat API has full access");
   }
   door.keys(admission::KeyRing(*appliance.keys));
-  log::write("keys", std::to_string(appliance.keys->size()) + " keys in " + appliance.keys_file);
+  log::write("keys", std::to_string(appliance.keys->size()) + " keys loaded from " + appliance.keys_file);
 }
 
-// A faulty file changes nothing. `apply` says what it has taken over, and whether that was all that is new.
-void guarded_reload(const std::function<std::pair<std::string, bool>()>& apply) {
+// Runs `apply`, which returns a summary of what it has reloaded and whether that covers every change. An
+// invalid file changes nothing.
+void reload_or_keep(const std::function<std::pair<std::string, bool>()>& apply) {
   try {
-    const auto [what, all] = apply();
-    log::write("reload", what + (all ? "" : "; the rest of what is new there counts from the next start"));
-  } catch (const config::BadConfig& problem) {
-    log::write("reload", std::string("the old configuration stays: ") + problem.what());
+    const auto [summary, complete] = apply();
+    log::write("reload", summary + (complete ? "" : "; other changes take effect at the next start"));
+  } catch (const config::BadConfig& error) {
+    log::write("reload", std::string("invalid configuration, keeping the old one: ") + error.what());
   }
 }
 
 }  // namespace
 
 void serve(const config::Config& config, const std::function<config::Config()>& reread) {
-  // Two processes share the limits while a new version takes over; the old one only finishes what it holds.
+  // Two processes share the limits during an upgrade; the old one only finishes its open requests.
   const std::size_t sockets = config.passed_socket ? config.sockets * 3 / 4 : config.sockets;
-  const Bounds bounds(sockets, config.memory_mb);
+  const ResourceLimits resource_limits(sockets, config.memory_mb);
   net::Loop loop;
   std::optional<core::Conductor> conductor;
-  net::InstanceClient instances(loop, pool_limits(config.connect_timeout, config.idle_timeout, bounds),
+  net::InstanceClient instances(loop,
+                                pool_limits(config.connect_timeout, config.idle_timeout, resource_limits),
                                 net::Dialect::platform);
-  bool listed = false, waits = false;  // for discovery's list
+  bool list_received = false, waiting_for_list = false;
   net::DiscoveryWatch discovery(loop, config, [&](const core::FleetNews& news) {
     conductor->news(news);
-    listed = true;
-    if (waits) loop.stop();
+    list_received = true;
+    if (waiting_for_list) loop.stop();
   });
-  core::ConductorSettings settings = core_settings(config.module, bounds);
+  core::ConductorSettings settings = core_settings(config.module, resource_limits);
   settings.news_late = net::DiscoveryWatch::most_late();
   conductor.emplace(std::move(settings), loop, instances, discovery, log_line);
   conductor->observe(request_log(config.classes, config.tenants));
   net::PlatformFront front(*conductor, loop, config.classes, config.tenants);
-  std::optional<Operations> operations;
-  if (!config.mgmt.empty()) operations.emplace(loop, *conductor, front, config, temporary_folder());
-  conductor->news(config.known);  // the known list serves until discovery does
+  std::optional<PlatformManagement> management;
+  if (!config.mgmt.empty()) management.emplace(loop, *conductor, front, config, temporary_directory());
+  conductor->news(config.known);  // the configured list is used until discovery sends one
   discovery.open();
-  if (config.passed_socket && !listed) {
-    // The process before this one serves meanwhile, by a newer list than ours.
-    waits = true;
-    const auto enough = loop.at(loop.now() + kListWait, [&] { loop.stop(); });
+  if (config.passed_socket && !list_received) {
+    // Meanwhile the previous process serves clients, with a newer list than the configured one.
+    waiting_for_list = true;
+    const auto list_timeout = loop.at(loop.now() + kFirstListTimeout, [&] { loop.stop(); });
     loop.run();
-    waits = false;
+    waiting_for_list = false;
   }
   const net::HttpServer::Place place =
       config.passed_socket ? net::HttpServer::Place(*config.passed_socket) : config.listen;
   net::HttpServer server(
       loop, place, [&](std::unique_ptr<net::Incoming> incoming) { front.handle(std::move(incoming)); },
-      bounds.clients);
-  std::optional<Succession> succession;
+      resource_limits.clients);
+  std::optional<StreamHandover> stream_handover;
   if (config.passed_socket) {
-    succession.emplace(loop, *conductor, instances, front, server,
-                       temporary_folder() + "/bankmux-" + config.name + "-streams");
+    stream_handover.emplace(loop, *conductor, instances, front, server,
+                            temporary_directory() + "/bankmux-" + config.name + "-streams");
   }
-  if (operations) operations->takes_clients(server);
+  if (management) management->set_client_server(server);
   const auto reload = [&] {
-    guarded_reload([&] {
-      const config::Config fresh = reread();
-      discovery.move(fresh.discovery);
-      return std::pair("discovery at " + fresh.discovery, fresh.fixed == config.fixed);
+    reload_or_keep([&] {
+      const config::Config reloaded = reread();
+      discovery.move(reloaded.discovery);
+      return std::pair("discovery at " + reloaded.discovery, reloaded.fixed == config.fixed);
     });
   };
-  const auto begun = [&] {
-    if (operations) operations->ending();
-    // What waits at a passed socket is its next holder's to take, and towards the front that one is ready.
+  const auto on_shutdown = [&] {
+    if (management) management->set_shutting_down();
+    // Connections waiting at a passed socket are for the next process, which then answers the readiness
+    // checks.
     if (config.passed_socket) {
-      static_cast<void>(server.stop_listening());  // accepts nothing there, so it always stops
+      // Always succeeds on a passed socket, where it accepts nothing more.
+      static_cast<void>(server.stop_listening());
     } else {
       front.set_ready(false);
     }
-    if (succession) succession->ending();
+    if (stream_handover) stream_handover->start_sending();
   };
-  WindDown wind_down(loop, *conductor, {&server}, kPlatformAccepting, begun, reload);
-  core::Duration longest{0};
-  for (const eiderarch::RequestClass& c : config.module.classes) longest = std::max(longest, c.deadline);
-  wind_down.give_up_after(std::min(longest, kMostPatience) + kBeforeTheKill);
-  const CpuWatch cpu_watch(loop, config.cpu_a_second);
+  ProcessLifecycle lifecycle(loop, *conductor, {&server}, kPlatformAcceptTime, on_shutdown, reload);
+  core::Duration longest_deadline{0};
+  for (const eiderarch::RequestClass& c : config.module.classes)
+    longest_deadline = std::max(longest_deadline, c.deadline);
+  lifecycle.set_abandon_after(std::min(longest_deadline, kMaxDeadline) + kAbandonMargin);
+  const CpuMonitor cpu_monitor(loop, config.cpu_a_second);
   for (const std::string& key : config.unknown) {
-    log::write("settings", "'settings." + key + "' is not known here and is passed over");
+    log::write("settings", "'settings." + key + "' is unknown and ignored");
   }
-  log::write("start", config.name + " serves at " + config.listen);
-  wind_down.run();
+  log::write("start", config.name + " listens at " + config.listen);
+  lifecycle.run();
 }
 
 void serve(config::Appliance appliance, const std::function<config::Appliance()>& reread) {
-  const Bounds bounds(appliance.sockets, appliance.memory_mb);
+  const ResourceLimits resource_limits(appliance.sockets, appliance.memory_mb);
   net::Loop loop;
-  admission::Door door(
-      {appliance.ledger, kMostTenants, bounds.requests});  // requests settle there to the last
+  // Declared before the conductor, because requests report to it until they are destroyed.
+  admission::Door door({appliance.ledger, kMaxTenants, resource_limits.requests});
   set_keys(door, appliance);
   std::optional<core::Conductor> conductor;
-  net::InstanceClient instances(loop, pool_limits(appliance.connect_timeout, appliance.idle_timeout, bounds),
-                                net::Dialect::openai);
+  net::InstanceClient instances(
+      loop, pool_limits(appliance.connect_timeout, appliance.idle_timeout, resource_limits),
+      net::Dialect::openai);
   net::BoxWatch boxes(loop, instances, appliance,
                       [&](const core::FleetNews& news) { conductor->news(news); });
-  conductor.emplace(core_settings(appliance.module, bounds), loop, instances, boxes, log_line);
+  conductor.emplace(core_settings(appliance.module, resource_limits), loop, instances, boxes, log_line);
   conductor->observe(request_log(appliance.classes));
   net::OperatorPage page(*conductor, loop, boxes, door, appliance);
   net::OpenAiFront front(*conductor, loop, door, appliance,
@@ -202,42 +220,42 @@
   net::HttpServer server(
       loop, appliance.listen,
       [&](std::unique_ptr<net::Incoming> incoming) { front.handle(std::move(incoming)); },
-      chat_limits(bounds.clients, appliance), front.hooks());
+      chat_limits(resource_limits.clients, appliance), front.hooks());
   std::vector<net::HttpServer*> servers{&server};
-  std::optional<net::HttpServer> operators;
+  std::optional<net::HttpServer> operator_server;
   if (!appliance.operator_listen.empty()) {
-    operators.emplace(
+    operator_server.emplace(
         loop, appliance.operator_listen,
         [&](std::unique_ptr<net::Incoming> incoming) { page.handle(std::move(incoming)); },
         net::ServerLimits{kOperatorConnections, kOperatorConnections * net::RequestParser::kMostBody});
-    servers.push_back(&*operators);
+    servers.push_back(&*operator_server);
   }
   std::optional<net::AgentCheck> agent;
   if (!appliance.agent_listen.empty()) {
     agent.emplace(loop, appliance.agent_listen, [&] { return page.standing(); });
   }
   const auto reload = [&] {
-    guarded_reload([&] {
-      const bool all = appliance.take_over(reread());
+    reload_or_keep([&] {
+      const bool complete = appliance.take_over(reread());
       boxes.reload(appliance);
       set_keys(door, appliance);
       return std::pair(std::to_string(appliance.boxes.size()) + " boxes, " +
                            std::to_string(appliance.models.size()) + " models",
-                       all);
+                       complete);
     });
   };
-  std::optional<FleetWork> fleet_work;
+  std::optional<FleetCoordination> fleet_coordination;
   if (appliance.coordination) {
-    fleet_work.emplace(loop, *appliance.coordination, appliance.check_every, boxes, page);
+    fleet_coordination.emplace(loop, *appliance.coordination, appliance.check_every, boxes, page);
   }
-  const auto begun = [&] {
+  const auto on_shutdown = [&] {
     page.set_ending();
-    if (fleet_work) fleet_work->leave();
+    if (fleet_coordination) fleet_coordination->leave();
   };
-  WindDown wind_down(loop, *conductor, servers, kApplianceAccepting, begun, reload);
+  ProcessLifecycle lifecycle(loop, *conductor, servers, kApplianceAcceptTime, on_shutdown, reload);
   boxes.open();
   log::write("start", appliance.name + " serves the chat API at " + appliance.listen);
-  wind_down.run();
+  lifecycle.run();
 }
 
 }  // namespace bankmux::app
--- a/src/app/shared_file.cpp
+++ b/src/app/shared_file.cpp
@@ -13,11 +13,11 @@
 
 namespace {
 
-constexpr std::size_t kMostBytes = 1024 * 1024;
-// A holder needs well under a millisecond; one that was stopped while it held the lock must not hold up this
-// process's loop, so that a call hears no instead.
-constexpr int kLockTries = 20;
-constexpr timespec kLockPause{0, 1'000'000};
+constexpr std::size_t kMaxBytes = 1024 * 1024;
+// A holder needs the lock for well under a millisecond. A process that was stopped while holding it must not
+// block this process's event loop, so the update fails instead.
+constexpr int kLockAttempts = 20;
+constexpr timespec kLockRetryInterval{0, 1'000'000};  // 1 ms
 
 class Descriptor {
  public:
@@ -33,10 +33,10 @@
   int fd_;
 };
 
-bool locked(int fd) {
-  for (int i = 0; i < kLockTries; ++i) {
+bool lock_with_retry(int fd) {
+  for (int i = 0; i < kLockAttempts; ++i) {
     if (flock(fd, LOCK_EX | LOCK_NB) == 0) return true;
-    nanosleep(&kLockPause, nullptr);
+    nanosleep(&kLockRetryInterval, nullptr);
   }
   return false;
 }
@@ -56,33 +56,34 @@
   const Descriptor file(open(path_.c_str(), O_RDONLY | O_CLOEXEC));
   if (file.get() < 0) return errno == ENOENT ? std::optional<std::string>("") : std::nullopt;
   std::string text;
-  char part[4096];
+  char buffer[4096];
   for (;;) {
-    const ssize_t n = ::read(file.get(), part, sizeof part);
-    if (n < 0 || text.size() > kMostBytes) return std::nullopt;
+    const ssize_t n = ::read(file.get(), buffer, sizeof buffer);
+    if (n < 0 || text.size() > kMaxBytes) return std::nullopt;
     if (n == 0) return text;
-    text.append(part, std::size_t(n));
+    text.append(buffer, std::size_t(n));
   }
 }
 
 bool SharedFile::changed() {
-  struct stat about {};
-  if (stat(path_.c_str(), &about) != 0) return false;
-  const std::pair now(static_cast<unsigned long>(about.st_ino),
-                      long(about.st_ctim.tv_sec) * 1'000'000'000L + about.st_ctim.tv_nsec);
-  return std::exchange(seen_, now) != now;
+  struct stat status {};
+  if (stat(path_.c_str(), &status) != 0) return false;
+  const std::pair version(static_cast<unsigned long>(status.st_ino),
+                          long(status.st_ctim.tv_sec) * 1'000'000'000L + status.st_ctim.tv_nsec);
+  return std::exchange(last_version_, version) != version;
 }
 
 bool SharedFile::update(const std::function<std::optional<std::string>(const std::string&)>& change) {
   const Descriptor lock(open((path_ + ".lock").c_str(), O_RDWR | O_CREAT | O_CLOEXEC, 0600));
-  if (lock.get() < 0 || !locked(lock.get())) return false;
+  if (lock.get() < 0 || !lock_with_retry(lock.get())) return false;
   const std::optional<std::string> before = read();
   if (!before) return false;
   const std::optional<std::string> after = change(*before);
   if (!after) return false;
-  const std::string fresh = path_ + ".new";
-  const Descriptor file(open(fresh.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, 0600));
-  return file.get() >= 0 && write_all(file.get(), *after) && rename(fresh.c_str(), path_.c_str()) == 0;
+  const std::string temporary_path = path_ + ".new";
+  const Descriptor file(open(temporary_path.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, 0600));
+  return file.get() >= 0 && write_all(file.get(), *after) &&
+         rename(temporary_path.c_str(), path_.c_str()) == 0;
 }
 
 }  // namespace bankmux::app
--- a/src/app/shared_file.hpp
+++ b/src/app/shared_file.hpp
@@ -1,5 +1,6 @@
-// A small file that the processes of one conductor share during an upgrade. Replaced whole by rename, so that
-// a reader sees the old text or the new one; changed under a lock, so that no process's change is lost.
+// A small file that the processes of one conductor share during an upgrade. It is replaced atomically by
+// rename, so that a reader sees either the old text or the new one, and changed under a lock, so that no
+// process's change is lost.
 #pragma once
 
 #include <functional>
@@ -12,18 +13,19 @@
  public:
   explicit SharedFile(std::string path) : path_(std::move(path)) {}
 
-  // Its text; empty where there is no file yet, nothing where it cannot be read or is longer than may be.
+  // Returns the file's text, "" if there is no file yet, nullopt if it cannot be read or is longer than 1
+  // MiB.
   [[nodiscard]] std::optional<std::string> read() const;
-  // Whether it was replaced since this was last asked (or since the start).
+  // Returns whether the file was replaced since the last call (or, at the first call, whether it exists).
   [[nodiscard]] bool changed();
-  // Reads, has `change` make the new text, and writes it; false where the lock is held for too long, `change`
-  // gives nothing, or the disk refuses: the file is then as it was.
+  // Replaces the text by what `change` returns for it. Returns false and leaves the file unchanged if the
+  // lock is not free within 20 ms, `change` returns nullopt, or reading or writing fails.
   [[nodiscard]] bool update(
       const std::function<std::optional<std::string>(const std::string& before)>& change);
 
  private:
   std::string path_;
-  std::pair<unsigned long, long> seen_{0, 0};  // inode and time of change
+  std::pair<unsigned long, long> last_version_{0, 0};  // inode and change time in nanoseconds
 };
 
 }  // namespace bankmux::app
--- a/src/app/succession.cpp
+++ b/src/app/succession.cpp
@@ -13,12 +13,12 @@
 
 namespace {
 
-constexpr core::Duration kPassEvery = 20ms;  // streams that have begun since
+constexpr core::Duration kSendInterval = 20ms;  // for streams that started after the last pass
 
 }  // namespace
 
-Succession::Succession(net::Loop& loop, core::Conductor& conductor, net::InstanceClient& instances,
-                       net::PlatformFront& front, net::HttpServer& clients, std::string path)
+StreamHandover::StreamHandover(net::Loop& loop, core::Conductor& conductor, net::InstanceClient& instances,
+                               net::PlatformFront& front, net::HttpServer& clients, std::string path)
     : loop_(loop),
       conductor_(conductor),
       instances_(instances),
@@ -27,14 +27,16 @@
       path_(std::move(path)) {
   try {
     receiver_ = std::make_unique<net::StreamReceiver>(
-        loop_, path_, [this](operations::PassedStream passed) { take(std::move(passed)); });
-  } catch (const std::runtime_error& problem) {
-    log::write("handover", std::string("running streams can't be taken over here: ") + problem.what());
+        loop_, path_, [this](operations::PassedStream passed) { take_over_stream(std::move(passed)); });
+  } catch (const std::runtime_error& error) {
+    log::write("handover", std::string("cannot receive running streams of another process: ") + error.what());
   }
 }
 
-void Succession::take(operations::PassedStream passed) {
-  std::string address;  // where its connection is kept afterwards; one that nobody lists any more is not
+void StreamHandover::take_over_stream(operations::PassedStream passed) {
+  // The pool key under which the connection is kept afterwards; empty, so that it is not kept, if the
+  // instance is no longer listed.
+  std::string address;
   for (const auto& [engine, member] : conductor_.fleet().members()) {
     if (member.target.id == passed.stream.box) address = member.target.address;
   }
@@ -44,26 +46,27 @@
   });
 }
 
-void Succession::ending() {
+void StreamHandover::start_sending() {
   receiver_.reset();
   sender_ = net::StreamSender::call(
       loop_, path_,
       [this] {
         log::write("handover", "the next process takes running streams over");
-        pass();
+        send_streams();
       },
       [this] {
-        log::write("handover", "no process takes running streams over any more; they are finished here");
-        next_.reset();
+        log::write("handover",
+                   "no process takes over running streams any more; finishing them in this process");
+        send_timer_.reset();
       });
 }
 
-void Succession::pass() {
+void StreamHandover::send_streams() {
   conductor_.pass_streams([this](const core::RunningStream& stream) {
     return sender_->send(operations::encode(stream.ask.payload->id, stream), stream.client.descriptor,
                          stream.instance.descriptor);
   });
-  next_ = loop_.at(loop_.now() + kPassEvery, [this] { pass(); });
+  send_timer_ = loop_.at(loop_.now() + kSendInterval, [this] { send_streams(); });
 }
 
 }  // namespace bankmux::app
--- a/src/app/succession.hpp
+++ b/src/app/succession.hpp
@@ -1,4 +1,5 @@
-// A new version takes over under load: streams that run go on in the process that follows.
+// Hands running streams over to the conductor's next process during an upgrade, and takes over those of the
+// process before.
 #pragma once
 
 #include <memory>
@@ -13,21 +14,21 @@
 
 namespace bankmux::app {
 
-class Succession {
+class StreamHandover {
  public:
-  // From now on streams of the process before this one are taken over; `path` names where. Where that can't
-  // be listened at, the log says so and each process finishes its own, as far as it has time.
-  Succession(net::Loop& loop, core::Conductor& conductor, net::InstanceClient& instances,
-             net::PlatformFront& front, net::HttpServer& clients, std::string path);
-  Succession(const Succession&) = delete;
-  Succession& operator=(const Succession&) = delete;
+  // Starts taking over streams of the process before this one at the Unix socket `path`. If it cannot listen
+  // there, it logs this, and each process finishes its own streams as far as its time allows.
+  StreamHandover(net::Loop& loop, core::Conductor& conductor, net::InstanceClient& instances,
+                 net::PlatformFront& front, net::HttpServer& clients, std::string path);
+  StreamHandover(const StreamHandover&) = delete;
+  StreamHandover& operator=(const StreamHandover&) = delete;
 
-  // This process has been told to end: from now on its streams go to the one that listens there now.
-  void ending();
+  // At shutdown: stops receiving and sends running streams to the process that now listens at the socket.
+  void start_sending();
 
  private:
-  void take(operations::PassedStream passed);
-  void pass();
+  void take_over_stream(operations::PassedStream passed);
+  void send_streams();
 
   net::Loop& loop_;
   core::Conductor& conductor_;
@@ -37,7 +38,7 @@
   std::string path_;
   std::unique_ptr<net::StreamReceiver> receiver_;
   std::unique_ptr<net::StreamSender> sender_;
-  std::unique_ptr<core::Timer> next_;
+  std::unique_ptr<core::Timer> send_timer_;
 };
 
 }  // namespace bankmux::app
--- a/src/app/wind_down.cpp
+++ b/src/app/wind_down.cpp
@@ -13,12 +13,15 @@
 
 namespace {
 
-constexpr core::Duration kLookEvery = 20ms;
-constexpr core::Duration kAcceptLate = 1s;    // for those that found no descriptor or no room
-constexpr core::Duration kSilent = 100ms;     // a connection accepted last has its request on the way
-constexpr core::Duration kLastWords = 300ms;  // for the answers and releases of what a second word gives up
-
-void mask_reloads(int how) {
+constexpr core::Duration kPollInterval = 20ms;
+// For connections that could not be accepted yet for lack of descriptors or slots.
+constexpr core::Duration kAcceptRetryTime = 1s;
+// The request of a connection that was accepted last may still be on its way.
+constexpr core::Duration kIdleThreshold = 100ms;
+// For the answers and releases of requests that a second SIGINT abandons.
+constexpr core::Duration kForcedStopDelay = 300ms;
+
+void mask_reload_signal(int how) {
   sigset_t signals;
   sigemptyset(&signals);
   sigaddset(&signals, SIGHUP);
@@ -27,71 +30,75 @@
 
 }  // namespace
 
-void hold_reloads() { mask_reloads(SIG_BLOCK); }
+void hold_reloads() { mask_reload_signal(SIG_BLOCK); }
 
-WindDown::WindDown(net::Loop& loop, core::Conductor& conductor, std::vector<net::HttpServer*> servers,
-                   core::Duration accepting, std::function<void()> begun, std::function<void()> reload)
+ProcessLifecycle::ProcessLifecycle(net::Loop& loop, core::Conductor& conductor,
+                                   std::vector<net::HttpServer*> servers, core::Duration accept_time,
+                                   std::function<void()> on_shutdown, std::function<void()> reload)
     : loop_(loop),
       conductor_(conductor),
       servers_(std::move(servers)),
-      accepting_(accepting),
-      begun_(std::move(begun)),
+      accept_time_(accept_time),
+      on_shutdown_(std::move(on_shutdown)),
       reload_(std::move(reload)) {}
 
-void WindDown::run() {
+void ProcessLifecycle::run() {
   std::signal(SIGPIPE, SIG_IGN);
-  std::function<void()> told = [this] { begin(); };
-  std::function<void()> urged = [this] { hurry(); };
-  const net::EventPtr term = loop_.on_signal(SIGTERM, &told);
-  const net::EventPtr interrupt = loop_.on_signal(SIGINT, &urged);
+  std::function<void()> on_term = [this] { begin_shutdown(); };
+  std::function<void()> on_interrupt = [this] { force_shutdown(); };
+  const net::EventPtr term = loop_.on_signal(SIGTERM, &on_term);
+  const net::EventPtr interrupt = loop_.on_signal(SIGINT, &on_interrupt);
   const net::EventPtr hang_up = loop_.on_signal(SIGHUP, &reload_);
-  mask_reloads(SIG_UNBLOCK);
+  mask_reload_signal(SIG_UNBLOCK);
   loop_.run();
-  const core::Figures& f = conductor_.figures();
-  log::write("stop", "taken " + std::to_string(f.taken) + ", served " + std::to_string(f.served) +
-                         ", refused " + std::to_string(f.refused) + ", failed " + std::to_string(f.failed) +
-                         ", broken " + std::to_string(f.broken) + ", client gone " + std::to_string(f.gone) +
-                         ", passed on " + std::to_string(f.passed_on) + ", taken over " +
-                         std::to_string(f.taken_over));
+  const core::Figures& counters = conductor_.figures();
+  log::write("stop", "taken " + std::to_string(counters.taken) + ", served " +
+                         std::to_string(counters.served) + ", refused " + std::to_string(counters.refused) +
+                         ", failed " + std::to_string(counters.failed) + ", broken " +
+                         std::to_string(counters.broken) + ", client gone " + std::to_string(counters.gone) +
+                         ", passed on " + std::to_string(counters.passed_on) + ", taken over " +
+                         std::to_string(counters.taken_over));
 }
 
-void WindDown::begin() {
-  // Supervisors may say it twice, to the process and to its group; what was taken is still owed its answer.
-  if (ending_) return;
-  ending_ = true;
-  log::write("stop", "told to end; open requests: " + std::to_string(conductor_.open_requests()));
+void ProcessLifecycle::begin_shutdown() {
+  // Supervisors may signal both the process and its group; a repeated SIGTERM does not abandon requests.
+  if (shutting_down_) return;
+  shutting_down_ = true;
+  log::write("stop", "shutdown requested; open requests: " + std::to_string(conductor_.open_requests()));
   for (net::HttpServer* server : servers_) server->wind_down();
-  begun_();
-  if (give_up_after_) last_ = loop_.at(loop_.now() + *give_up_after_, [this] { conductor_.abandon(); });
-  listen_until_ = loop_.now() + accepting_ + kAcceptLate;
-  next_ = loop_.at(loop_.now() + accepting_, [this] { look(); });
+  on_shutdown_();
+  if (abandon_after_)
+    deadline_timer_ = loop_.at(loop_.now() + *abandon_after_, [this] { conductor_.abandon(); });
+  stop_listening_by_ = loop_.now() + accept_time_ + kAcceptRetryTime;
+  poll_timer_ = loop_.at(loop_.now() + accept_time_, [this] { check_finished(); });
 }
 
-// Somebody at a terminal who asks again wants an end at once: what has not begun to be answered hears so.
-void WindDown::hurry() {
-  if (!ending_) return begin();
-  if (std::exchange(hurried_, true)) return;  // each further word would put the end off
+// A second SIGINT, from a user at a terminal, asks for an immediate stop: requests whose answer has not begun
+// are refused.
+void ProcessLifecycle::force_shutdown() {
+  if (!shutting_down_) return begin_shutdown();
+  if (std::exchange(forced_, true)) return;  // a further signal would postpone the stop
   conductor_.abandon();
-  last_ = loop_.at(loop_.now() + kLastWords, [this] { loop_.stop(); });
+  deadline_timer_ = loop_.at(loop_.now() + kForcedStopDelay, [this] { loop_.stop(); });
 }
 
-bool WindDown::stop_listening() {
+bool ProcessLifecycle::stop_listening() {
   bool stopped = true;
   for (net::HttpServer* server : servers_) stopped &= server->stop_listening();
   return stopped;
 }
 
-// Idle connections are closed now that no new one comes; the rest end with their answers.
-void WindDown::look() {
-  const bool listening = !stop_listening() && loop_.now() < listen_until_;
+// Closes idle connections once no new ones are accepted; the others close after their answers.
+void ProcessLifecycle::check_finished() {
+  const bool listening = !stop_listening() && loop_.now() < stop_listening_by_;
   std::size_t connections = 0;
   for (net::HttpServer* server : servers_) {
-    server->close_idle(kSilent);
+    server->close_idle(kIdleThreshold);
     connections += server->connections();
   }
   if (!listening && connections == 0 && conductor_.open_requests() == 0 && !conductor_.releasing())
     return loop_.stop();
-  next_ = loop_.at(loop_.now() + kLookEvery, [this] { look(); });
+  poll_timer_ = loop_.at(loop_.now() + kPollInterval, [this] { check_finished(); });
 }
 
 }  // namespace bankmux::app
--- a/src/app/wind_down.hpp
+++ b/src/app/wind_down.hpp
@@ -1,5 +1,5 @@
-// Runs the loop until SIGTERM or SIGINT and then until all that was taken is answered; a further SIGINT gives
-// up what has not begun. SIGHUP reloads, at any time.
+// Runs the event loop until SIGTERM or SIGINT, then until every accepted request is answered. A second SIGINT
+// abandons requests whose answer has not begun. SIGHUP reloads the configuration at any time.
 #pragma once
 
 #include <functional>
@@ -13,35 +13,37 @@
 
 namespace bankmux::app {
 
-// From here on SIGHUP waits for WindDown::run. Called before anything is read: by default the signal kills,
-// and one that comes early means a file that is newer than what has been read.
+// Blocks SIGHUP until ProcessLifecycle::run. Call it before reading the configuration: the signal's default
+// action kills the process, and an early one means that the file is newer than what has been read.
 void hold_reloads();
 
-class WindDown {
+class ProcessLifecycle {
  public:
-  // `accepting`: for how long new connections are still taken, since front layers and balancers notice late.
-  WindDown(net::Loop& loop, core::Conductor& conductor, std::vector<net::HttpServer*> servers,
-           core::Duration accepting, std::function<void()> begun, std::function<void()> reload);
-  // What has not begun to be answered so long after the word to end is given up: soon after, this process is
-  // killed.
-  void give_up_after(core::Duration time) { give_up_after_ = time; }
+  // `accept_time`: how long new connections are still accepted after shutdown begins, because front layers
+  // and balancers notice late. `on_shutdown` runs once when shutdown begins, `reload` on each SIGHUP.
+  ProcessLifecycle(net::Loop& loop, core::Conductor& conductor, std::vector<net::HttpServer*> servers,
+                   core::Duration accept_time, std::function<void()> on_shutdown,
+                   std::function<void()> reload);
+  // Abandons requests whose answer has not begun `time` after shutdown began, because the process is killed
+  // soon after that.
+  void set_abandon_after(core::Duration time) { abandon_after_ = time; }
   void run();
 
  private:
-  void begin();
-  void hurry();
+  void begin_shutdown();
+  void force_shutdown();
   [[nodiscard]] bool stop_listening();
-  void look();
+  void check_finished();
 
   net::Loop& loop_;
   core::Conductor& conductor_;
   std::vector<net::HttpServer*> servers_;
-  core::Duration accepting_;
-  std::function<void()> begun_, reload_;
-  std::optional<core::Duration> give_up_after_;
-  std::unique_ptr<core::Timer> next_, last_;
-  core::Time listen_until_{0};  // no longer, though some could not be accepted
-  bool ending_ = false, hurried_ = false;
+  core::Duration accept_time_;
+  std::function<void()> on_shutdown_, reload_;
+  std::optional<core::Duration> abandon_after_;
+  std::unique_ptr<core::Timer> poll_timer_, deadline_timer_;
+  core::Time stop_listening_by_{0};  // even if connections are still waiting to be accepted
+  bool shutting_down_ = false, forced_ = false;
 };
 
 }  // namespace bankmux::app
