--- a/src/app/serve.cpp
+++ b/src/app/serve.cpp
@@ -172,7 +172,8 @@
     reload_or_keep([&] {
       const config::Config reloaded = reread();
       discovery.move(reloaded.discovery);
-      return std::pair("discovery at " + reloaded.discovery, reloaded.fixed == config.fixed);
+      return std::pair("discovery at " + reloaded.discovery,
+                       reloaded.startup_settings_hash == config.startup_settings_hash);
     });
   };
   const auto on_shutdown = [&] {
@@ -192,7 +193,7 @@
   for (const eiderarch::RequestClass& c : config.module.classes)
     longest_deadline = std::max(longest_deadline, c.deadline);
   lifecycle.set_abandon_after(std::min(longest_deadline, kMaxDeadline) + kAbandonMargin);
-  const CpuMonitor cpu_monitor(loop, config.cpu_a_second);
+  const CpuMonitor cpu_monitor(loop, config.cpu_budget_per_second);
   for (const std::string& key : config.unknown) {
     log::write("settings", "'settings." + key + "' is unknown and ignored");
   }
@@ -210,11 +211,11 @@
   net::InstanceClient instances(
       loop, pool_limits(appliance.connect_timeout, appliance.idle_timeout, resource_limits),
       net::Dialect::openai);
-  net::BoxWatch boxes(loop, instances, appliance,
-                      [&](const core::FleetNews& news) { conductor->news(news); });
-  conductor.emplace(core_settings(appliance.module, resource_limits), loop, instances, boxes, log_line);
+  net::InstanceMonitor monitor(loop, instances, appliance,
+                               [&](const core::FleetNews& news) { conductor->news(news); });
+  conductor.emplace(core_settings(appliance.module, resource_limits), loop, instances, monitor, log_line);
   conductor->observe(request_log(appliance.classes));
-  net::OperatorPage page(*conductor, loop, boxes, door, appliance);
+  net::OperatorPage page(*conductor, loop, monitor, door, appliance);
   net::OpenAiFront front(*conductor, loop, door, appliance,
                          [&] { return page.standing().state == net::Standing::State::up; });
   net::HttpServer server(
@@ -236,8 +237,8 @@
   }
   const auto reload = [&] {
     reload_or_keep([&] {
-      const bool complete = appliance.take_over(reread());
-      boxes.reload(appliance);
+      const bool complete = appliance.apply_reload(reread());
+      monitor.reload(appliance);
       set_keys(door, appliance);
       return std::pair(std::to_string(appliance.boxes.size()) + " boxes, " +
                            std::to_string(appliance.models.size()) + " models",
@@ -246,14 +247,14 @@
   };
   std::optional<FleetCoordination> fleet_coordination;
   if (appliance.coordination) {
-    fleet_coordination.emplace(loop, *appliance.coordination, appliance.check_every, boxes, page);
+    fleet_coordination.emplace(loop, *appliance.coordination, appliance.check_every, monitor, page);
   }
   const auto on_shutdown = [&] {
-    page.set_ending();
+    page.set_shutting_down();
     if (fleet_coordination) fleet_coordination->leave();
   };
   ProcessLifecycle lifecycle(loop, *conductor, servers, kApplianceAcceptTime, on_shutdown, reload);
-  boxes.open();
+  monitor.start();
   log::write("start", appliance.name + " serves the chat API at " + appliance.listen);
   lifecycle.run();
 }
--- a/src/config/appliance.cpp
+++ b/src/config/appliance.cpp
@@ -15,15 +15,15 @@
 
 namespace {
 
-constexpr std::size_t kMostBoxes = 64;
-constexpr double kOverShareWorth = 0.25;  // what a tenant asks beyond its quota waits behind the rest
-constexpr core::Duration kLeastLease = 1s, kMostLease = 300s;
+constexpr std::size_t kMaxInstances = 64;
+constexpr double kOverShareWorth = 0.25;  // requests beyond a tenant's quota queue behind all others
+constexpr core::Duration kMinLease = 1s, kMaxLease = 300s;
 constexpr double kMib = 1024.0 * 1024.0;
 
 eiderarch::RequestClass read_class(const Fields& f) {
   eiderarch::RequestClass c;
   const std::string repeat = f.text("repeat");
-  if (repeat != "safe" && repeat != "never") f.bad("repeat", "is neither 'safe' nor 'never'");
+  if (repeat != "safe" && repeat != "never") f.bad("repeat", "must be 'safe' or 'never'");
   c.effect = repeat == "safe" ? eiderarch::Effect::safe : eiderarch::Effect::unsafe;
   c.aim = f.seconds("first_token_s", 2s);
   c.aim_per_kilotoken = f.seconds("first_token_s_per_1000", 40ms);
@@ -31,18 +31,19 @@
   c.token_aim = f.seconds("token_s", 80ms);
   c.worth = f.number("worth", 1.0, 0.0, 1e6);
   c.late_worth = f.number("late_worth", 0.2, 0.0, 1.0);
-  f.no_others();
+  f.reject_unknown_keys();
   return c;
 }
 
-std::uint32_t place_of(const Fields& f, const std::string& key, const std::vector<std::string>& names) {
+std::uint32_t class_index(const Fields& f, const std::string& key, const std::vector<std::string>& names) {
   const std::string name = f.text(key);
   const auto it = std::ranges::find(names, name);
-  if (it == names.end()) f.bad(key, "names no class: '" + name + "'");
+  if (it == names.end()) f.bad(key, "names an unknown class: '" + name + "'");
   return std::uint32_t(it - names.begin());
 }
 
-// A box reads and writes, so the split path rests and the module's writer choice is what is left of it.
+// Every instance does both prefill and decode, so that prefill is never split off and the decision module
+// only chooses a decode instance.
 eiderarch::Settings module_settings() {
   eiderarch::Settings s;
   s.limits.cancel = true;
@@ -63,15 +64,15 @@
 
 }  // namespace
 
-bool Appliance::take_over(Appliance fresh) {
-  boxes = std::move(fresh.boxes);
-  keys_file = std::move(fresh.keys_file);
-  keys = std::move(fresh.keys);
-  check_every = fresh.check_every;
-  seam = fresh.seam;
-  default_output = fresh.default_output;
-  if (fresh.classes == classes) models = std::move(fresh.models);
-  return fresh.fixed == fixed;
+bool Appliance::apply_reload(Appliance reloaded) {
+  boxes = std::move(reloaded.boxes);
+  keys_file = std::move(reloaded.keys_file);
+  keys = std::move(reloaded.keys);
+  check_every = reloaded.check_every;
+  seam = reloaded.seam;
+  default_output = reloaded.default_output;
+  if (reloaded.classes == classes) models = std::move(reloaded.models);
+  return reloaded.startup_settings_hash == startup_settings_hash;
 }
 
 std::uint32_t Appliance::tenant_number(const std::string& name) const {
@@ -83,9 +84,9 @@
   std::map<std::string, double> quotas;
   for (const admission::Key& key : keys) {
     const double quota = double(key.limits.requests_per_minute) / 60.0;
-    const auto [it, fresh] = quotas.emplace(key.tenant, quota);
-    // One key without a limit, and its tenant has none.
-    if (!fresh) it->second = it->second > 0.0 && quota > 0.0 ? it->second + quota : 0.0;
+    const auto [it, inserted] = quotas.emplace(key.tenant, quota);
+    // One key without a limit leaves its tenant without a quota.
+    if (!inserted) it->second = it->second > 0.0 && quota > 0.0 ? it->second + quota : 0.0;
   }
   for (const auto& [name, quota] : quotas) {
     appliance.tenants.push_back(name);
@@ -103,7 +104,7 @@
 
 namespace {
 
-bool plain_name(const std::string& text) {
+bool is_plain_name(const std::string& text) {
   return std::ranges::all_of(
       text, [](unsigned char c) { return std::isalnum(c) || c == '-' || c == '_' || c == '.'; });
 }
@@ -112,18 +113,18 @@
   Coordination c;
   const std::string folder = f.text("folder");
   std::error_code error;
-  if (!std::filesystem::is_directory(folder, error)) f.bad("folder", "is not a folder: '" + folder + "'");
+  if (!std::filesystem::is_directory(folder, error)) f.bad("folder", "is not a directory: '" + folder + "'");
   c.file = folder + "/bankmux-fleet.db";
   c.member = f.text("member", name);
-  // It stands in the store's keys.
-  if (!plain_name(c.member)) f.bad("member", "holds other than letters, digits, '-', '_' and '.'");
+  // The name is part of the store's keys.
+  if (!is_plain_name(c.member)) f.bad("member", "may contain only letters, digits, '-', '_' and '.'");
   c.lease = f.seconds("lease_s", c.lease);
-  if (c.lease < kLeastLease || c.lease > kMostLease) f.bad("lease_s", "is not within 1 and 300");
-  f.no_others();
+  if (c.lease < kMinLease || c.lease > kMaxLease) f.bad("lease_s", "must be between 1 and 300");
+  f.reject_unknown_keys();
   return c;
 }
 
-Appliance read_fields(const json& document) {
+Appliance read_document_fields(const json& document) {
   const Fields f(document, "");
   Appliance a;
   a.module = module_settings();
@@ -137,40 +138,42 @@
   a.idle_timeout = f.seconds("idle_timeout_s", a.idle_timeout);
   a.sockets = f.count("sockets", a.sockets, 64, 1'000'000);
   a.memory_mb = f.count("memory_mb", a.memory_mb, 32, 1'000'000);
-  const double most_mib = f.number("max_body_mib", double(a.most_body) / kMib, 0.25, 64.0);
-  a.most_body = std::size_t(most_mib * kMib);
-  // All bodies together get a fifth of the memory; one alone must fit.
+  const double max_body_mib = f.number("max_body_mib", double(a.most_body) / kMib, 0.25, 64.0);
+  a.most_body = std::size_t(max_body_mib * kMib);
+  // All request bodies together may use a fifth of the memory; a single one must fit.
   if (a.most_body > std::size_t(double(a.memory_mb) * kMib) / 5) {
-    f.bad("max_body_mib", "is more than a fifth of 'memory_mb'");
+    f.bad("max_body_mib", "must not exceed a fifth of 'memory_mb'");
   }
   a.seam = f.seconds("seam_s", a.seam);
   if (f.has("stream_keep_alive_s")) a.stream_keep_alive = f.seconds("stream_keep_alive_s", 15s);
   a.keys_file = f.text("keys", "");
-  if (f.has("keys") && a.keys_file.empty()) f.bad("keys", "is empty; leave it out to let everyone ask");
+  if (f.has("keys") && a.keys_file.empty())
+    f.bad("keys", "is empty; omit it to allow requests without an API key");
   const Fields ledger = f.section("ledger");
   a.ledger.entries = ledger.count("entries", a.ledger.entries, 0, 10'000'000);
   a.ledger.age = ledger.seconds("age_s", a.ledger.age);
-  const double answers = ledger.number("answer_mib", std::min(8.0, double(a.memory_mb) / 8), 0.0, 1024.0);
-  // Bodies have a fifth of the memory already.
-  if (answers > double(a.memory_mb) / 8) ledger.bad("answer_mib", "is more than an eighth of 'memory_mb'");
-  a.ledger.answer_bytes = std::size_t(answers * kMib);
+  const double answer_mib = ledger.number("answer_mib", std::min(8.0, double(a.memory_mb) / 8), 0.0, 1024.0);
+  // Request bodies already have a fifth of the memory.
+  if (answer_mib > double(a.memory_mb) / 8)
+    ledger.bad("answer_mib", "must not exceed an eighth of 'memory_mb'");
+  a.ledger.answer_bytes = std::size_t(answer_mib * kMib);
   a.ledger.one_answer = std::min(a.ledger.one_answer, a.ledger.answer_bytes);
-  ledger.no_others();
+  ledger.reject_unknown_keys();
   if (f.has("coordination")) a.coordination = read_coordination(f.section("coordination"), a.name);
   if (f.has("cors_origins")) a.cors_origins = f.texts("cors_origins");
   a.module.limits.max_attempts = int(f.count("max_attempts", 3, 1, 10));
   a.module.seed = f.count("seed", 1, 0, 1'000'000'000);
   for (const Fields& row : f.objects("classes")) {
     const std::string name = row.text("name");
-    if (std::ranges::count(a.classes, name) > 0) row.bad("name", "is there twice: '" + name + "'");
+    if (std::ranges::count(a.classes, name) > 0) row.bad("name", "is not unique: '" + name + "'");
     a.classes.push_back(name);
     a.module.classes.push_back(read_class(row));
   }
   for (const Fields& row : f.objects("models")) {
-    Model model{row.text("name"), place_of(row, "class", a.classes), false, {}};
+    Model model{row.text("name"), class_index(row, "class", a.classes), false, {}};
     const std::string responses = row.text("responses", "translate");
     if (responses != "translate" && responses != "native") {
-      row.bad("responses", "is neither 'translate' nor 'native'");
+      row.bad("responses", "must be 'translate' or 'native'");
     }
     model.native_responses = responses == "native";
     const std::string continuation = row.text("continuation", "none");
@@ -179,48 +182,50 @@
     } else if (continuation == "prompt") {
       model.continuation = recovery::Way::prompt;
     } else if (continuation != "none") {
-      row.bad("continuation", "is none of 'none', 'final_message', 'prompt'");
+      row.bad("continuation", "must be 'none', 'final_message' or 'prompt'");
     }
     if (std::ranges::count(a.models, model.name, &Model::name) > 0) {
-      row.bad("name", "is there twice: '" + model.name + "'");
+      row.bad("name", "is not unique: '" + model.name + "'");
     }
-    row.no_others();
+    row.reject_unknown_keys();
     a.models.push_back(std::move(model));
   }
   const Fields boxes = f.section("box_defaults");
   const auto memory = boxes.count("memory_tokens", 0, 0, 1'000'000'000);
-  boxes.no_others();
+  boxes.reject_unknown_keys();
   a.module.kinds = {{eiderarch::Role::both, eiderarch::Tokens(memory)}};
   for (const Fields& row : f.objects("boxes")) {
-    Box box{row.text("id"), row.address("address"), row.number("weight", 1.0, 0.01, 1000.0)};
-    if (std::ranges::count(a.boxes, box.id, &Box::id) > 0) row.bad("id", "is there twice: '" + box.id + "'");
-    // It stands in the paths of the operator's page.
-    if (!plain_name(box.id)) row.bad("id", "holds other than letters, digits, '-', '_' and '.'");
-    row.no_others();
-    a.boxes.push_back(std::move(box));
+    Instance instance{row.text("id"), row.address("address"), row.number("weight", 1.0, 0.01, 1000.0)};
+    if (std::ranges::count(a.boxes, instance.id, &Instance::id) > 0)
+      row.bad("id", "is not unique: '" + instance.id + "'");
+    // The id is part of paths of the operator page.
+    if (!is_plain_name(instance.id)) row.bad("id", "may contain only letters, digits, '-', '_' and '.'");
+    row.reject_unknown_keys();
+    a.boxes.push_back(std::move(instance));
   }
-  if (a.boxes.size() > kMostBoxes) f.bad("boxes", "has more than " + std::to_string(kMostBoxes) + " entries");
-  (void)f.has("$schema");  // for editors
-  f.no_others();
+  if (a.boxes.size() > kMaxInstances)
+    f.bad("boxes", "has more than " + std::to_string(kMaxInstances) + " entries");
+  (void)f.has("$schema");  // editors use it to find the schema
+  f.reject_unknown_keys();
   json rest = document;
   for (const char* key : {"boxes", "keys", "models", "check_every_s", "seam_s", "default_output_tokens"})
     rest.erase(key);
-  a.fixed = std::hash<std::string>{}(rest.dump());
+  a.startup_settings_hash = std::hash<std::string>{}(rest.dump());
   return a;
 }
 
 }  // namespace
 
-// The schema is what is published, so it decides; where the reader finds the same fault, its words are
-// clearer.
+// The published schema decides whether a document is valid. If read_document_fields() rejects it too, its
+// message is the clearer one and is reported instead.
 Appliance parse_appliance(const json& document) {
   try {
     check_schema(document, appliance_schema());
   } catch (const BadConfig&) {
-    (void)read_fields(document);
+    (void)read_document_fields(document);
     throw;
   }
-  return read_fields(document);
+  return read_document_fields(document);
 }
 
 }  // namespace bankmux::config
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -24,31 +24,34 @@
                                           "cell",       "kind",  "weight",
                                           "started_ms", 1000.0,  {"SERVING", "DRAINING", "DELETED"}};
 
-// Entries in one list. A site has 10 to 13 boxes and a large fleet 60; each entry costs every conductor
-// memory for as long as it runs, and the module looks at all for each request. More is a fault, no fleet.
-constexpr std::size_t kMostServers = 4096;
-
-// The environment's word wins over the document's; empty where neither has one and it is not `needed`.
-std::string told(const Fields& f, const char* key, const Environment& environment, const char* variable,
-                 bool needed = true) {
+// Entries in one list. A site has 10 to 13 instances and a large fleet 60. Each entry costs every conductor
+// memory for as long as it runs, and the module examines all entries for each request, so that a longer list
+// is rejected as an error.
+constexpr std::size_t kMaxListEntries = 4096;
+
+// Returns the environment variable's value if it is set, otherwise the document's; empty if neither is given
+// and the value is not `needed`.
+std::string text_or_environment(const Fields& f, const char* key, const Environment& environment,
+                                const char* variable, bool needed = true) {
   const char* value = environment(variable);
   if (value != nullptr && *value != '\0') return value;
   return needed || f.has(key) ? f.text(key) : "";
 }
 
-std::string address(const Fields& f, const char* key, const Environment& environment, const char* variable,
-                    bool needed = true) {
-  std::string value = told(f, key, environment, variable, needed);
+std::string address_or_environment(const Fields& f, const char* key, const Environment& environment,
+                                   const char* variable, bool needed = true) {
+  std::string value = text_or_environment(f, key, environment, variable, needed);
   if ((needed || !value.empty()) && !Address::parse(value))
     f.bad(key, "is not an IPv4 address and port: '" + value + "'");
   return value;
 }
 
-std::uint64_t seed(const Fields& f, const json& document) {
+// An unsigned number or a hexadecimal string; 1 if it is missing.
+std::uint64_t read_seed(const Fields& f, const json& document) {
   const auto it = document.find("seed");
   if (it == document.end()) return 1;
   if (it->is_number_unsigned()) return it->get<std::uint64_t>();
-  if (!it->is_string()) f.bad("seed", "is neither text nor a number");
+  if (!it->is_string()) f.bad("seed", "must be a string or an unsigned number");
   const std::string value = it->get<std::string>();
   if (value.empty() || value.size() > 16 ||
       value.find_first_not_of("0123456789abcdefABCDEF") != std::string::npos) {
@@ -57,17 +60,18 @@
   return std::stoull(value, nullptr, 16);
 }
 
-// A descriptor that the platform has opened for this process: a socket that listens.
-std::optional<int> passed_socket(const Environment& environment) {
+// The descriptor of a listening socket that the platform has opened for this process.
+std::optional<int> read_passed_socket(const Environment& environment) {
   const char* value = environment("PROXY_PASSED_SOCKET");
   if (value == nullptr || *value == '\0') return std::nullopt;
   int fd = -1;
   const auto [end, error] = std::from_chars(value, value + std::strlen(value), fd);
   int listens = 0;
   socklen_t size = sizeof listens;
-  const bool whole = error == std::errc{} && *end == '\0' && fd > STDERR_FILENO;
-  if (!whole || getsockopt(fd, SOL_SOCKET, SO_ACCEPTCONN, &listens, &size) != 0 || listens == 0) {
-    throw BadConfig("'PROXY_PASSED_SOCKET' names no listening socket: '" + std::string(value) + "'");
+  const bool valid = error == std::errc{} && *end == '\0' && fd > STDERR_FILENO;
+  if (!valid || getsockopt(fd, SOL_SOCKET, SO_ACCEPTCONN, &listens, &size) != 0 || listens == 0) {
+    throw BadConfig("'PROXY_PASSED_SOCKET' is not the descriptor of a listening socket: '" +
+                    std::string(value) + "'");
   }
   return fd;
 }
@@ -89,11 +93,11 @@
 Config parse_config(const json& document, const Environment& environment) {
   const Fields f(document, "");
   Config c;
-  c.name = told(f, "name", environment, "PROXY_NAME");
-  c.listen = address(f, "listen", environment, "PROXY_LISTEN");
-  c.discovery = address(f, "discovery", environment, "PROXY_DISCOVERY");
-  c.mgmt = address(f, "mgmt", environment, "PROXY_MGMT", false);
-  c.passed_socket = passed_socket(environment);
+  c.name = text_or_environment(f, "name", environment, "PROXY_NAME");
+  c.listen = address_or_environment(f, "listen", environment, "PROXY_LISTEN");
+  c.discovery = address_or_environment(f, "discovery", environment, "PROXY_DISCOVERY");
+  c.mgmt = address_or_environment(f, "mgmt", environment, "PROXY_MGMT", false);
+  c.passed_socket = read_passed_socket(environment);
   const Fields limits = f.section("limits");
   c.sockets = limits.count("sockets", 1024, 32, 1'000'000);
   c.memory_mb = limits.count("memory_mb", 192, 16, 1'000'000);
@@ -101,7 +105,7 @@
   c.unknown = check_settings(document.at("settings"));
   const Fields settings = f.section("settings");
   for (const Fields& row : settings.objects("categories")) c.classes.push_back(row.text("name"));
-  // Some sites have no tenants, and say so by an empty list or by none.
+  // A site without tenants has an empty list or none.
   const json tenants = document.at("settings").value("tenants", json());
   if (!tenants.is_null() && tenants != json::array()) {
     for (const Fields& row : settings.objects("tenants")) c.tenants.push_back(row.text("name"));
@@ -111,15 +115,17 @@
   const Fields policy = settings.section("policyLimits");
   c.connect_timeout = policy.seconds("connectTimeoutS", c.connect_timeout);
   c.idle_timeout = policy.seconds("connIdleS", c.idle_timeout);
-  c.cpu_a_second = core::Duration(std::llround(policy.number("cpuUsPerS", 0.0, 0.0, 1e9)));
+  c.cpu_budget_per_second = core::Duration(std::llround(policy.number("cpuUsPerS", 0.0, 0.0, 1e9)));
   try {
-    c.module = wire::decode_options(document.at("settings"), seed(f, document));
+    c.module = wire::decode_options(document.at("settings"), read_seed(f, document));
   } catch (const wire::MalformedInput& problem) {
     throw BadConfig(std::string("settings: ") + problem.what());
   }
-  if (c.module.kinds.size() != c.kinds.size()) settings.bad("familyInfo.dutyByKind", "does not fit 'skus'");
-  c.fixed = std::hash<std::string>{}(c.name + ' ' + c.listen + ' ' + document.value("limits", json()).dump() +
-                                     document.at("settings").dump());
+  if (c.module.kinds.size() != c.kinds.size())
+    settings.bad("familyInfo.dutyByKind", "must have as many entries as 'skus'");
+  c.startup_settings_hash =
+      std::hash<std::string>{}(c.name + ' ' + c.listen + ' ' + document.value("limits", json()).dump() +
+                               document.at("settings").dump());
   c.stream_reports = c.module.report_mode == eiderarch::ReportMode::answers;
   if (document.contains("known")) {
     try {
@@ -144,29 +150,30 @@
   }
   result.version = version->get<std::uint64_t>();
   const auto full = message.find("full");
-  const bool whole = full != message.end() && full->is_boolean() && full->get<bool>();
-  result.news.scope = whole ? eiderarch::ListScope::complete : eiderarch::ListScope::changes;
+  const bool complete = full != message.end() && full->is_boolean() && full->get<bool>();
+  result.news.scope = complete ? eiderarch::ListScope::complete : eiderarch::ListScope::changes;
   const auto servers = message.find("servers");
   if (servers == message.end() || !servers->is_array())
     throw wire::MalformedInput("field 'servers' is not a list");
-  if (servers->size() > kMostServers) {
+  if (servers->size() > kMaxListEntries) {
     throw wire::MalformedInput("field 'servers' has " + std::to_string(servers->size()) +
-                               " entries, more than " + std::to_string(kMostServers));
+                               " entries, more than " + std::to_string(kMaxListEntries));
   }
-  // Two entries of one instance say two things of it, and neither can be believed before the other.
-  std::set<eiderarch::EngineId> seen;
+  // Two entries of one instance may contradict each other, and neither takes precedence.
+  std::set<eiderarch::EngineId> listed_engines;
   for (const json& row : *servers) {
     if (!row.is_object()) throw wire::MalformedInput("field 'servers' holds something that is not an object");
     core::Listed listed;
     listed.entry = wire::decode_entry(row, kDiscoveryEntry, zones, kinds);
-    // Taken for the first of several kinds, a writer could become a reader, whose attempts have no effect.
+    // Without this, decode_entry's default is the first of several kinds, and a decode instance could be
+    // taken for a prefill instance, whose attempts count as having no effect.
     if (!row.contains("kind") && kinds.size() > 1) listed.entry.kind = eiderarch::kKindNotNamed;
     listed.id = wire::text_field(row, "id");
     if (row.contains("addr")) listed.address = wire::text_field(row, "addr");
     if (!listed.address.empty() && !Address::parse(listed.address)) {
       throw wire::MalformedInput("field 'addr' is not an address: '" + listed.address + "'");
     }
-    if (!seen.insert(listed.entry.engine).second) {
+    if (!listed_engines.insert(listed.entry.engine).second) {
       throw wire::MalformedInput("field 'id' names '" + listed.id + "' twice");
     }
     result.news.entries.push_back(std::move(listed));
--- a/src/config/config.hpp
+++ b/src/config/config.hpp
@@ -1,5 +1,5 @@
-// What the program is told: PROXY_* and the JSON that PROXY_CONFIG names. Read, checked and defaulted here
-// and nowhere else.
+// The platform conductor's configuration: the PROXY_* environment variables and the JSON file that
+// PROXY_CONFIG names. Reading, checking and default values are all here.
 #pragma once
 
 #include <functional>
@@ -18,39 +18,42 @@
   std::string name;
   std::string listen;
   std::string discovery;
-  std::string mgmt;                  // the second address; empty: none
-  std::optional<int> passed_socket;  // the clients' listening socket, where the platform holds it
+  std::string mgmt;                  // management address; empty: none
+  std::optional<int> passed_socket;  // descriptor of the clients' listening socket, if the platform opens it
   std::size_t sockets = 1024;
   std::size_t memory_mb = 192;
   eiderarch::Settings module;
   std::vector<std::string> classes;
-  std::vector<std::string> tenants;  // none: the site has no shares
+  std::vector<std::string> tenants;  // empty: the site has no tenants
   std::vector<std::string> zones;
   std::vector<std::string> kinds;
   core::Duration connect_timeout{250'000};
   core::Duration idle_timeout{15'000'000};
-  core::Duration cpu_a_second{0};    // processor time that this process may use in a second; 0: not told
-  std::vector<std::string> unknown;  // keys of the settings that are passed over
-  bool stream_reports = false;       // answers hold load reports
+  core::Duration cpu_budget_per_second{
+      0};                            // CPU time that this process may use per second; 0: not configured
+  std::vector<std::string> unknown;  // keys of the settings that are unknown and ignored
+  bool stream_reports = false;       // answers carry load reports
   core::FleetNews known;
   std::uint64_t known_version = 0;
-  std::size_t fixed = 0;  // of all that counts from the start alone; differs where any of it does
+  std::size_t startup_settings_hash = 0;  // hash of all settings that a reload cannot change
 };
 
+// Looks up an environment variable; nullptr if it is not set.
 using Environment = std::function<const char*(const char*)>;
 
-// Both throw BadConfig.
+// All three throw BadConfig.
 Config read_config(const Environment& environment);
-// Again while the program runs: the environment is as old as the process and the file is newer, so the file's
-// `discovery` counts.
+// Reads the configuration again while the program runs. The environment dates from the process's start and
+// the file is newer, so that the file's `discovery` takes precedence over PROXY_DISCOVERY.
 Config reread_config(const Environment& environment);
 Config parse_config(const nlohmann::json& document, const Environment& environment);
 
-// One object of discovery's: the whole list or changes. Throws eiderarch::wire::MalformedInput.
+// One message from discovery: the whole list of instances or changes to it.
 struct ListMessage {
   std::uint64_t version = 0;
   core::FleetNews news;
 };
+// Throws eiderarch::wire::MalformedInput.
 ListMessage parse_list(const nlohmann::json& message, const std::vector<std::string>& zones,
                        const std::vector<std::string>& kinds);
 
--- a/src/config/fields.cpp
+++ b/src/config/fields.cpp
@@ -31,7 +31,7 @@
 }
 
 const json* Fields::find(const std::string& key) const {
-  asked_.insert(key);
+  requested_keys_.insert(key);
   const auto it = object_->find(key);
   return it == object_->end() || it->is_null() ? nullptr : &*it;
 }
@@ -45,8 +45,8 @@
   return value->get<std::string>();
 }
 
-std::string Fields::text(const std::string& key, const std::string& otherwise) const {
-  return has(key) ? text(key) : otherwise;
+std::string Fields::text(const std::string& key, const std::string& fallback) const {
+  return has(key) ? text(key) : fallback;
 }
 
 std::string Fields::address(const std::string& key) const {
@@ -55,28 +55,28 @@
   return value;
 }
 
-double Fields::number(const std::string& key, double otherwise, double least, double most) const {
+double Fields::number(const std::string& key, double fallback, double min, double max) const {
   const json* value = find(key);
-  if (value == nullptr) return otherwise;
+  if (value == nullptr) return fallback;
   if (!value->is_number()) bad(key, "is not a number");
   const double result = value->get<double>();
-  if (!(result >= least && result <= most)) {
+  if (!(result >= min && result <= max)) {
     std::ostringstream range;
-    range << "is not within " << least << " and " << most;
+    range << "must be between " << min << " and " << max;
     bad(key, range.str());
   }
   return result;
 }
 
-std::size_t Fields::count(const std::string& key, std::size_t otherwise, std::size_t least,
-                          std::size_t most) const {
-  const double value = number(key, double(otherwise), double(least), double(most));
+std::size_t Fields::count(const std::string& key, std::size_t fallback, std::size_t min,
+                          std::size_t max) const {
+  const double value = number(key, double(fallback), double(min), double(max));
   if (value != std::floor(value)) bad(key, "is not a whole number");
   return std::size_t(value);
 }
 
-core::Duration Fields::seconds(const std::string& key, core::Duration otherwise) const {
-  const double value = number(key, double(otherwise.count()) / 1e6, 0.001, 86400.0);
+core::Duration Fields::seconds(const std::string& key, core::Duration fallback) const {
+  const double value = number(key, double(fallback.count()) / 1e6, 0.001, 86400.0);
   return core::Duration(std::llround(value * 1e6));
 }
 
@@ -89,7 +89,7 @@
 const json& Fields::list(const std::string& key) const {
   const json* value = find(key);
   if (value == nullptr) bad(key, "is missing");
-  if (!value->is_array() || value->empty()) bad(key, "is not a list with at least one entry");
+  if (!value->is_array() || value->empty()) bad(key, "must be a list with at least one entry");
   return *value;
 }
 
@@ -110,9 +110,9 @@
   return result;
 }
 
-void Fields::no_others() const {
+void Fields::reject_unknown_keys() const {
   for (const auto& item : object_->items()) {
-    if (!asked_.contains(item.key())) bad(item.key(), "is not a key that is known here");
+    if (!requested_keys_.contains(item.key())) bad(item.key(), "is not a known key");
   }
 }
 
--- a/src/config/keys_file.cpp
+++ b/src/config/keys_file.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-constexpr std::size_t kMostKeys = 100'000;  // as many tenants as the limiter holds, each with a key
+constexpr std::size_t kMaxKeys = 100'000;  // the number of tenants that the limiter can hold, one key each
 
 std::string hex(const unsigned char* bytes, std::size_t size) {
   static constexpr char kDigits[] = "0123456789abcdef";
@@ -40,7 +40,7 @@
   return result;
 }
 
-admission::Key key_of(const Fields& f) {
+admission::Key read_key(const Fields& f) {
   admission::Key key;
   key.id = f.text("id");
   if (key.id.size() != 2 * admission::kIdBytes ||
@@ -55,26 +55,26 @@
   key.limits.open = int(f.count("open", 0, 0, 1'000'000));
   key.salt = bytes<admission::kSaltBytes>(f, "salt");
   key.hash = bytes<admission::kHashBytes>(f, "hash");
-  f.no_others();
+  f.reject_unknown_keys();
   return key;
 }
 
 }  // namespace
 
 std::vector<admission::Key> parse_keys(const json& document) {
-  const Fields top(document, "");
+  const Fields root(document, "");
   std::vector<admission::Key> keys;
   const auto list = document.find("keys");
-  if (list == document.end() || !list->is_array()) top.bad("keys", "is not a list");
-  if (list->size() > kMostKeys) top.bad("keys", "holds more than " + std::to_string(kMostKeys) + " keys");
+  if (list == document.end() || !list->is_array()) root.bad("keys", "is not a list");
+  if (list->size() > kMaxKeys) root.bad("keys", "holds more than " + std::to_string(kMaxKeys) + " keys");
   if (!list->empty()) {
-    for (const Fields& f : top.objects("keys")) keys.push_back(key_of(f));
+    for (const Fields& f : root.objects("keys")) keys.push_back(read_key(f));
   }
-  top.no_others();
+  root.reject_unknown_keys();
   try {
     (void)admission::KeyRing(keys);
-  } catch (const std::invalid_argument& problem) {
-    throw BadConfig(std::string("'keys' ") + problem.what());
+  } catch (const std::invalid_argument& error) {
+    throw BadConfig(std::string("'keys' ") + error.what());
   }
   return keys;
 }
@@ -82,7 +82,7 @@
 std::vector<admission::Key> read_keys(const std::string& path) {
   struct stat status {};
   if (::stat(path.c_str(), &status) != 0) throw BadConfig("'keys' names a file that cannot be read: " + path);
-  // Its hashes would let nobody in, but which tenants and keys there are is nobody else's business.
+  // The hashes grant no access, but the list of tenants and keys is confidential.
   if ((status.st_mode & 077) != 0) {
     char mode[8];
     std::snprintf(mode, sizeof mode, "%04o", unsigned(status.st_mode & 07777));
@@ -108,19 +108,20 @@
 }
 
 void write_keys(const std::string& path, const std::vector<admission::Key>& keys) {
-  const std::string fresh = path + ".new";
-  const mode_t before = ::umask(077);
+  const std::string temporary_path = path + ".new";
+  const mode_t old_mask = ::umask(077);
   {
-    std::ofstream file(fresh, std::ios::trunc);
+    std::ofstream file(temporary_path, std::ios::trunc);
     file << keys_json(keys).dump(2) << '\n';
     if (!file.flush()) {
-      ::umask(before);
-      throw std::runtime_error("cannot write " + fresh);
+      ::umask(old_mask);
+      throw std::runtime_error("cannot write " + temporary_path);
     }
   }
-  ::umask(before);
-  ::chmod(fresh.c_str(), 0600);
-  if (std::rename(fresh.c_str(), path.c_str()) != 0) throw std::runtime_error("cannot replace " + path);
+  ::umask(old_mask);
+  ::chmod(temporary_path.c_str(), 0600);
+  if (std::rename(temporary_path.c_str(), path.c_str()) != 0)
+    throw std::runtime_error("cannot replace " + path);
 }
 
 }  // namespace bankmux::config
--- a/src/config/keys_file.hpp
+++ b/src/config/keys_file.hpp
@@ -1,5 +1,5 @@
-// The file of API keys: read at start and on SIGHUP, written by `bankmux key`. It holds salted hashes, never
-// a key, and must not be readable by group or others.
+// The API key file: read at start and on SIGHUP, written by `bankmux key`. It holds salted hashes, never the
+// keys themselves, and must not be accessible to group or others.
 #pragma once
 
 #include <string>
@@ -10,10 +10,10 @@
 
 namespace bankmux::config {
 
-// Throws BadConfig naming the faulty key, or the file's mode.
+// Both throw BadConfig, which names the invalid setting or the file's mode.
 std::vector<admission::Key> read_keys(const std::string& path);
 std::vector<admission::Key> parse_keys(const nlohmann::json& document);
-// Whole or not at all: a new file beside it, with mode 0600, takes its place. Throws std::runtime_error.
+// Replaces the file atomically by a new one with mode 0600, written next to it. Throws std::runtime_error.
 void write_keys(const std::string& path, const std::vector<admission::Key>& keys);
 nlohmann::json keys_json(const std::vector<admission::Key>& keys);
 
--- a/src/config/schema.hpp
+++ b/src/config/schema.hpp
@@ -1,4 +1,4 @@
-// The JSON Schema of the appliance file, and documents checked against it.
+// The JSON Schema of the appliance file, and validation against it.
 #pragma once
 
 #include <nlohmann/json_fwd.hpp>
@@ -7,10 +7,11 @@
 
 namespace bankmux::config {
 
-// As published in deploy/appliance.schema.json, from which the build takes it.
+// The text of deploy/appliance.schema.json, embedded at build time.
 std::string_view appliance_schema();
 
-// Throws BadConfig that names the faulty key by its whole path, as in 'boxes[0].weight'.
+// Throws BadConfig if `document` violates `schema`; the message names the key by its full path, for example
+// 'boxes[0].weight'.
 void check_schema(const nlohmann::json& document, std::string_view schema);
 
 }  // namespace bankmux::config
--- a/src/config/settings_rules.cpp
+++ b/src/config/settings_rules.cpp
@@ -15,87 +15,87 @@
 
 namespace {
 
-enum class Form { any, number, whole, flag, text, object, list };
+enum class Type { any, number, integer, boolean, text, object, list };
 
-constexpr double kNoEnd = std::numeric_limits<double>::infinity();
-constexpr double kDay = 86'400.0;  // seconds; no wait or rule of a site is longer
-constexpr double kMany = 1e6;      // attempts, conductors, tiers
-constexpr double kMemory = 1e12;   // tokens
-constexpr double kPoints = 1e3;    // a price or a share of the mix is a part of one, and never so much
+constexpr double kUnbounded = std::numeric_limits<double>::infinity();
+constexpr double kDaySeconds = 86'400.0;  // no wait or time of a site's rules is longer
+constexpr double kMaxCount = 1e6;         // of attempts, conductors or tiers
+constexpr double kMaxTokens = 1e12;
+constexpr double kMaxPrice = 1e3;  // prices and shares of the scoring mix are fractions of 1, far below this
 
 struct Rule {
-  Form form = Form::any;
-  double least = 0.0, most = kNoEnd;
-  bool needed = false;  // what the rules of the service rest on: no default would be safe
+  Type type = Type::any;
+  double min = 0.0, max = kUnbounded;
+  bool required = false;  // the rules depend on it and no default would be safe
 };
 
-constexpr Rule kText{Form::text};
-constexpr Rule kFlag{Form::flag};
-constexpr Rule kObject{Form::object};
-constexpr Rule kList{Form::list};
-constexpr Rule kPart{Form::number, 0.0, 1.0};
-constexpr Rule kSeconds{Form::number, 0.0, kDay};
-constexpr Rule kPrice{Form::number, 0.0, kPoints};
-constexpr Rule kCount{Form::whole, 0.0, kMany};
-
-constexpr Rule needed(Rule rule) {
-  rule.needed = true;
+constexpr Rule kText{Type::text};
+constexpr Rule kBoolean{Type::boolean};
+constexpr Rule kObject{Type::object};
+constexpr Rule kList{Type::list};
+constexpr Rule kFraction{Type::number, 0.0, 1.0};
+constexpr Rule kSeconds{Type::number, 0.0, kDaySeconds};
+constexpr Rule kPrice{Type::number, 0.0, kMaxPrice};
+constexpr Rule kCount{Type::integer, 0.0, kMaxCount};
+
+constexpr Rule required(Rule rule) {
+  rule.required = true;
   return rule;
 }
 
-// `a.b` is a member, `a[]` any element of a list. What stands under `any` is not looked at.
+// `a.b` is a member, `a[]` any element of a list. Values of type `any` are not checked.
 const std::map<std::string_view, Rule>& rules() {
   static const std::map<std::string_view, Rule> kRules{
-      {"azs", needed(kList)},
+      {"azs", required(kList)},
       {"azs[]", kText},
       {"callers", kObject},
-      {"callers.marksRetry", kFlag},
-      {"categories", needed(kList)},
+      {"callers.marksRetry", kBoolean},
+      {"categories", required(kList)},
       {"categories[]", kObject},
-      {"categories[].aimStretch", {Form::number, 0.0, kMany}},
-      {"categories[].deadlineS", needed({Form::number, 0.001, kDay})},
-      {"categories[].effect", needed(kText)},
+      {"categories[].aimStretch", {Type::number, 0.0, kMaxCount}},
+      {"categories[].deadlineS", required({Type::number, 0.001, kDaySeconds})},
+      {"categories[].effect", required(kText)},
       {"categories[].group", kText},
-      {"categories[].lateWorth", kPart},
-      {"categories[].name", needed(kText)},
-      {"categories[].stream", kFlag},
-      {"categories[].targetS", needed({Form::number, 0.001, kDay})},
+      {"categories[].lateWorth", kFraction},
+      {"categories[].name", required(kText)},
+      {"categories[].stream", kBoolean},
+      {"categories[].targetS", required({Type::number, 0.001, kDaySeconds})},
       {"categories[].windowS", kSeconds},
-      {"categories[].worth", {Form::number, 0.0, kMany}},
+      {"categories[].worth", {Type::number, 0.0, kMaxCount}},
       {"domainType", kText},
-      {"familyInfo", needed(kObject)},
-      {"familyInfo.ahead", kFlag},
+      {"familyInfo", required(kObject)},
+      {"familyInfo.ahead", kBoolean},
       {"familyInfo.aimUsPer1000PromptTokens", kList},
-      {"familyInfo.aimUsPer1000PromptTokens[]", {Form::number, 0.0, kDay * 1e6}},
-      {"familyInfo.dutyByKind", needed(kList)},
+      {"familyInfo.aimUsPer1000PromptTokens[]", {Type::number, 0.0, kDaySeconds * 1e6}},
+      {"familyInfo.dutyByKind", required(kList)},
       {"familyInfo.dutyByKind[]", kText},
       {"familyInfo.releaseWithinS", kSeconds},
-      {"familyInfo.reportX0", {Form::any}},
-      {"familyInfo.reportX1", {Form::any}},
-      {"familyInfo.resume", kFlag},
+      {"familyInfo.reportX0", {Type::any}},
+      {"familyInfo.reportX1", {Type::any}},
+      {"familyInfo.resume", kBoolean},
       {"familyInfo.tokenAimS", kList},
       {"familyInfo.tokenAimS[]", kSeconds},
       {"familyInfo.tokensByKind", kList},
-      {"familyInfo.tokensByKind[]", {Form::number, 0.0, kMemory}},
+      {"familyInfo.tokensByKind[]", {Type::number, 0.0, kMaxTokens}},
       {"familyInfo.transferPrice", kPrice},
-      {"familyInfo.writersRead", kFlag},
+      {"familyInfo.writersRead", kBoolean},
       {"layer", kCount},
       {"me", kCount},
-      {"nInstances", {Form::whole, 1.0, kMany}},
-      {"overShareWorth", kPart},
-      {"policyLimits", needed(kObject)},
-      {"policyLimits.cancel", kFlag},
-      {"policyLimits.connIdleS", {Form::number, 0.001, kDay}},
-      {"policyLimits.connectTimeoutS", {Form::number, 0.001, kDay}},
-      {"policyLimits.cpuUsPerRequest", {Form::number, 0.0, kDay * 1e6}},
-      {"policyLimits.cpuUsPerS", {Form::number, 0.0, kDay * 1e6}},
-      {"policyLimits.maxAttempts", needed({Form::whole, 1.0, kMany})},
-      {"policyLimits.maxOpen", {Form::whole, 0.0, 1e9}},
+      {"nInstances", {Type::integer, 1.0, kMaxCount}},
+      {"overShareWorth", kFraction},
+      {"policyLimits", required(kObject)},
+      {"policyLimits.cancel", kBoolean},
+      {"policyLimits.connIdleS", {Type::number, 0.001, kDaySeconds}},
+      {"policyLimits.connectTimeoutS", {Type::number, 0.001, kDaySeconds}},
+      {"policyLimits.cpuUsPerRequest", {Type::number, 0.0, kDaySeconds * 1e6}},
+      {"policyLimits.cpuUsPerS", {Type::number, 0.0, kDaySeconds * 1e6}},
+      {"policyLimits.maxAttempts", required({Type::integer, 1.0, kMaxCount})},
+      {"policyLimits.maxOpen", {Type::integer, 0.0, 1e9}},
       {"policyLimits.maxRetryAfterS", kSeconds},
-      {"policyLimits.mayProbe", kFlag},
-      {"policyLimits.peers", kFlag},
-      {"policyLimits.retryAfter", kFlag},
-      {"policyLimits.secondCopies", kFlag},
+      {"policyLimits.mayProbe", kBoolean},
+      {"policyLimits.peers", kBoolean},
+      {"policyLimits.retryAfter", kBoolean},
+      {"policyLimits.secondCopies", kBoolean},
       {"policyLimits.streamsPerConn", kCount},
       {"prices", kObject},
       {"prices.connection", kPrice},
@@ -115,27 +115,27 @@
       {"report.fields[]", kText},
       {"report.how", kText},
       {"resolutionS", kSeconds},
-      {"rules", needed(kObject)},
+      {"rules", required(kObject)},
       {"rules.askWithinS", kSeconds},
-      {"rules.coldFrom", needed(kPart)},
-      {"rules.coldS", needed(kSeconds)},
-      {"rules.drainGraceS", needed(kSeconds)},
-      {"rules.fallS", needed(kSeconds)},
+      {"rules.coldFrom", required(kFraction)},
+      {"rules.coldS", required(kSeconds)},
+      {"rules.drainGraceS", required(kSeconds)},
+      {"rules.fallS", required(kSeconds)},
       {"rules.graceToAnswerS", kSeconds},
-      {"rules.overloadFactor", needed({Form::number, 0.01, kMany})},
+      {"rules.overloadFactor", required({Type::number, 0.01, kMaxCount})},
       {"scoringMix", kObject},
       {"scoringMix.whole", kPrice},
       {"scoringMix.worstClass", kPrice},
       {"scoringMix.worstTenant", kPrice},
       {"scoringMix.worstWindow", kPrice},
-      {"skus", needed(kList)},
+      {"skus", required(kList)},
       {"skus[]", kText},
       {"tenants", kList},
       {"tenants[]", kObject},
-      {"tenants[].fraction", kPart},
-      {"tenants[].name", needed(kText)},
-      {"tenants[].quotaRps", {Form::number, 0.0, 1e9}},
-      {"tiers", {Form::any}},
+      {"tenants[].fraction", kFraction},
+      {"tenants[].name", required(kText)},
+      {"tenants[].quotaRps", {Type::number, 0.0, 1e9}},
+      {"tiers", {Type::any}},
       {"weights", kText},
       {"worthBy", kText},
       {"zone", kCount},
@@ -147,77 +147,78 @@
   throw BadConfig("'settings." + path + "' " + what);
 }
 
-std::string named(const json& value) {
+std::string shortened(const json& value) {
   std::string text = value.dump(-1, ' ', false, json::error_handler_t::replace);
-  constexpr std::size_t kMost = 40;  // of a value in a complaint
-  return text.size() > kMost ? text.substr(0, kMost) + "..." : text;
+  constexpr std::size_t kMaxLength = 40;  // characters of a value in an error message
+  return text.size() > kMaxLength ? text.substr(0, kMaxLength) + "..." : text;
 }
 
 void check_number(const std::string& path, const json& value, const Rule& rule) {
-  if (!value.is_number()) bad(path, "is not a number: " + named(value));
+  if (!value.is_number()) bad(path, "is not a number: " + shortened(value));
   const double number = value.get<double>();
-  if (rule.form == Form::whole && number != std::floor(number)) bad(path, "is not a whole number");
-  if (number >= rule.least && number <= rule.most) return;
-  std::ostringstream words;
-  words << "is not within " << rule.least << " and " << rule.most << ": " << number;
-  bad(path, words.str());
+  if (rule.type == Type::integer && number != std::floor(number)) bad(path, "is not a whole number");
+  if (number >= rule.min && number <= rule.max) return;
+  std::ostringstream message;
+  message << "must be between " << rule.min << " and " << rule.max << ": " << number;
+  bad(path, message.str());
 }
 
-void check_form(const std::string& path, const json& value, const Rule& rule) {
-  switch (rule.form) {
-    case Form::any:
+void check_type(const std::string& path, const json& value, const Rule& rule) {
+  switch (rule.type) {
+    case Type::any:
       return;
-    case Form::number:
-    case Form::whole:
+    case Type::number:
+    case Type::integer:
       return check_number(path, value, rule);
-    case Form::flag:
-      if (!value.is_boolean()) bad(path, "is not true or false: " + named(value));
+    case Type::boolean:
+      if (!value.is_boolean()) bad(path, "is not true or false: " + shortened(value));
       return;
-    case Form::text:
+    case Type::text:
       if (!value.is_string() || value.get_ref<const std::string&>().empty())
-        bad(path, "is not text: " + named(value));
+        bad(path, "is not text: " + shortened(value));
       return;
-    case Form::object:
-      if (!value.is_object()) bad(path, "is not an object: " + named(value));
+    case Type::object:
+      if (!value.is_object()) bad(path, "is not an object: " + shortened(value));
       return;
-    case Form::list:
-      if (!value.is_array()) bad(path, "is not a list: " + named(value));
+    case Type::list:
+      if (!value.is_array()) bad(path, "is not a list: " + shortened(value));
       return;
   }
 }
 
-class Walk {
+class SettingsChecker {
  public:
+  // Patterns of the keys that the table does not have, each once.
   std::vector<std::string> unknown;
 
-  // `path` is for words, `pattern` for the table: the same but for the numbers in brackets.
-  void object(const json& value, const std::string& path, const std::string& pattern) {
-    const std::string before = path.empty() ? "" : path + ".";
-    const std::string pattern_before = pattern.empty() ? "" : pattern + ".";
+  // `path` is used in messages and `pattern` in the table: `path` with empty brackets for list indices.
+  void check_object(const json& value, const std::string& path, const std::string& pattern) {
+    const std::string prefix = path.empty() ? "" : path + ".";
+    const std::string pattern_prefix = pattern.empty() ? "" : pattern + ".";
     for (const auto& [name, member] : value.items()) {
-      if (!member.is_null()) one(member, before + name, pattern_before + name);
+      if (!member.is_null()) check_value(member, prefix + name, pattern_prefix + name);
     }
     for (const auto& [known, rule] : rules()) {
-      if (!rule.needed || !known.starts_with(pattern_before)) continue;
-      const std::string name(known.substr(pattern_before.size()));
+      if (!rule.required || !known.starts_with(pattern_prefix)) continue;
+      const std::string name(known.substr(pattern_prefix.size()));
       if (name.find_first_of(".[") != std::string::npos) continue;
       const auto it = value.find(name);
-      if (it == value.end() || it->is_null()) bad(before + name, "is missing");
+      if (it == value.end() || it->is_null()) bad(prefix + name, "is missing");
     }
   }
 
  private:
-  void one(const json& value, const std::string& path, const std::string& pattern) {
+  void check_value(const json& value, const std::string& path, const std::string& pattern) {
     const auto rule = rules().find(pattern);
     if (rule == rules().end()) {
       if (std::ranges::find(unknown, pattern) == unknown.end()) unknown.push_back(pattern);
       return;
     }
-    check_form(path, value, rule->second);
-    if (rule->second.form == Form::object) object(value, path, pattern);
-    if (rule->second.form != Form::list) return;
+    check_type(path, value, rule->second);
+    if (rule->second.type == Type::object) check_object(value, path, pattern);
+    if (rule->second.type != Type::list) return;
     for (std::size_t i = 0; i < value.size(); ++i) {
-      one(value[i], path + "[" + std::to_string(i) + "]", pattern + "[]");
+      check_value(value[i], path + "[" + std::to_string(i) + "]", pattern + "[]");
     }
   }
 };
@@ -226,13 +227,13 @@
 
 std::vector<std::string> check_settings(const json& settings) {
   if (!settings.is_object()) throw BadConfig("'settings' is not an object");
-  Walk walk;
-  walk.object(settings, "", "");
+  SettingsChecker checker;
+  checker.check_object(settings, "", "");
   const auto zone = settings.find("zone");
   if (zone != settings.end() && zone->is_number() && zone->get<double>() >= double(settings["azs"].size())) {
-    bad("zone", "is none of 'azs'");
+    bad("zone", "must be an index into 'azs'");
   }
-  return walk.unknown;
+  return checker.unknown;
 }
 
 }  // namespace bankmux::config
--- a/src/config/settings_rules.hpp
+++ b/src/config/settings_rules.hpp
@@ -1,6 +1,6 @@
-// What a site's settings may hold: each key, its form and its range, in one table. The simulator's adapter
-// reads settings as they come; a conductor that starts on a slip of the pen would serve a day by a wrong
-// rule.
+// Validation of a site's settings against one table of keys, types and ranges. The simulator's adapter reads
+// settings without these checks; a conductor that started with a misspelt setting would apply a wrong rule
+// for a day.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -9,9 +9,9 @@
 
 namespace bankmux::config {
 
-// Throws BadConfig, naming the key by its whole path, where one that the rules rest on is missing, or where
-// any is malformed or out of its range. Returns the paths of the keys that the table does not know, each
-// once: a newer platform may tell more than this program reads, so they are passed over.
+// Throws BadConfig, naming the key by its full path, if a required key is missing or any key is malformed or
+// out of range. Returns the paths of the keys that the table does not know, each once; they are ignored,
+// because a newer platform may send settings that this program does not use.
 std::vector<std::string> check_settings(const nlohmann::json& settings);
 
 }  // namespace bankmux::config
