--- a/src/app/fleet_work.cpp
+++ b/src/app/fleet_work.cpp
@@ -34,47 +34,48 @@
 }  // namespace
 
 FleetCoordination::FleetCoordination(net::Loop& loop, const config::Coordination& settings,
-                                     core::Duration check_every, net::BoxWatch& boxes,
+                                     core::Duration check_every, net::InstanceMonitor& monitor,
                                      net::OperatorPage& page)
     : loop_(loop),
-      boxes_(boxes),
+      monitor_(monitor),
       mailbox_(loop),
       store_(settings.file, [this](std::function<void()> run) { mailbox_.post(std::move(run)); }),
       probe_reports_(kReportValidRounds * check_every),
       runner_(loop, store_, ownership_settings(settings), coordination::boot_time,
               [](const std::string& words) { log::write("duty", words); }) {
   const std::string prober(duties::kProber);
-  boxes_.share(
+  monitor_.share_probing(
       {[this, prober] { return probe_reports_.asks(loop_.now(), runner_.grant(prober).has_value()); },
        [this](const std::string& instance) { return probe_reports_.running(loop_.now(), instance); },
        [this](const std::map<std::string, bool>& running) { publish_report(running); }});
-  page.share({[this](const std::string& id, bool out, std::function<void(bool)> done) {
-                const std::string key = std::string(duties::kOutPrefix) + id;
-                runner_.say(out ? coordination::Write(coordination::Put{key, "out", 0})
-                                : coordination::Write(coordination::Erase{key}),
-                            std::move(done));
-              },
-              [this] {
-                nlohmann::json all = runner_.describe();
-                all["boxes_asked"] = boxes_.asked();
-                const auto age = probe_reports_.age(loop_.now());
-                all["report_age_s"] = age ? nlohmann::json(double(age->count()) / 1e6) : nlohmann::json();
-                return all;
-              }});
+  page.share_operations({[this](const std::string& id, bool drained, std::function<void(bool)> done) {
+                           const std::string key = std::string(duties::kOutPrefix) + id;
+                           runner_.say(drained ? coordination::Write(coordination::Put{key, "out", 0})
+                                               : coordination::Write(coordination::Erase{key}),
+                                       std::move(done));
+                         },
+                         [this] {
+                           nlohmann::json all = runner_.describe();
+                           all["boxes_asked"] = monitor_.probes_sent();
+                           const auto age = probe_reports_.age(loop_.now());
+                           all["report_age_s"] =
+                               age ? nlohmann::json(double(age->count()) / 1e6) : nlohmann::json();
+                           return all;
+                         }});
   runner_.start({std::string(duties::kOutPrefix), ownership::state_key(duties::kProber, duties::kReportName)},
                 [this](const std::vector<coordination::Entry>& entries) { apply_entries(entries); });
 }
 
 void FleetCoordination::apply_entries(const std::vector<coordination::Entry>& entries) {
-  std::set<std::string> out;
+  std::set<std::string> drained;
   for (const coordination::Entry& entry : entries) {
     if (entry.key.starts_with(duties::kOutPrefix)) {
-      out.insert(entry.key.substr(duties::kOutPrefix.size()));
+      drained.insert(entry.key.substr(duties::kOutPrefix.size()));
     } else {
       (void)probe_reports_.heard(loop_.now(), entry.modified, entry.value);
     }
   }
-  boxes_.set_out(out);
+  monitor_.set_drained(drained);
 }
 
 // Publishes the latest probe results. Does nothing if another process holds the duty or the lease has
--- a/src/app/fleet_work.hpp
+++ b/src/app/fleet_work.hpp
@@ -18,7 +18,7 @@
 class FleetCoordination {
  public:
   FleetCoordination(net::Loop& loop, const config::Coordination& settings, core::Duration check_every,
-                    net::BoxWatch& boxes, net::OperatorPage& page);
+                    net::InstanceMonitor& monitor, net::OperatorPage& page);
   FleetCoordination(const FleetCoordination&) = delete;
   FleetCoordination& operator=(const FleetCoordination&) = delete;
 
@@ -32,7 +32,7 @@
   void publish_report(const std::map<std::string, bool>& runs);
 
   net::Loop& loop_;
-  net::BoxWatch& boxes_;
+  net::InstanceMonitor& monitor_;
   net::Mailbox mailbox_;
   coordination::SqliteStore store_;
   duties::FleetView probe_reports_;
--- a/src/app/operations.cpp
+++ b/src/app/operations.cpp
@@ -59,7 +59,7 @@
         const auto ids = current.empty() ? operations::Ids{} : operations::decode(current);
         if (!ids) return std::nullopt;
         updated = *ids;
-        if (out_of_rotation ? updated.size() >= operations::kMostOut : !updated.contains(id)) return current;
+        if (out_of_rotation ? updated.size() >= operations::kMaxIds : !updated.contains(id)) return current;
         out_of_rotation ? void(updated.insert(id)) : void(updated.erase(id));
         return operations::encode(updated);
       });
--- a/src/net/appliance/agent_check.cpp
+++ b/src/net/appliance/agent_check.cpp
@@ -13,9 +13,9 @@
 
 namespace {
 
-constexpr std::size_t kMostConnections = 16;
-constexpr core::Duration kAcceptRest = std::chrono::milliseconds(100);
-constexpr timeval kPatience{2, 0};  // for a balancer that does not close its side
+constexpr std::size_t kMaxConnections = 16;
+constexpr core::Duration kAcceptRetryDelay = std::chrono::milliseconds(100);
+constexpr timeval kTimeout{2, 0};  // 2 s, for a balancer that does not close its side
 
 }  // namespace
 
@@ -28,7 +28,7 @@
     case Standing::State::up:
       break;
   }
-  // A weight of 0 would be a drain to the balancer.
+  // The balancer would treat a weight of 0 as a drain.
   return "up " + std::to_string(std::clamp(standing.weight, 1, 100)) + "%\n";
 }
 
@@ -43,7 +43,7 @@
           this)) {
   evconnlistener_set_error_cb(listener_.get(), [](evconnlistener*, void* self) {
     if (accept_error_is_transient(EVUTIL_SOCKET_ERROR())) return;
-    guarded("agent", [=] { static_cast<AgentCheck*>(self)->rest_listener(); });
+    guarded("agent", [=] { static_cast<AgentCheck*>(self)->pause_listener(); });
   });
 }
 
@@ -57,7 +57,7 @@
 }
 
 void AgentCheck::accept(evutil_socket_t socket) {
-  if (connections_.size() >= kMostConnections) {
+  if (connections_.size() >= kMaxConnections) {
     evutil_closesocket(socket);
     return;
   }
@@ -69,8 +69,8 @@
   }
   connections_.emplace(connection, std::move(owner));
   const std::string line = agent_line(standing_());
-  // What the balancer sends (its agent-send text) is read and ignored: closed with it unread, the connection
-  // would be reset and the line might be lost.
+  // The balancer's input (its agent-send text) is read and ignored: closing the connection with unread input
+  // would reset it, and the line might be lost.
   bufferevent_setcb(
       connection,
       [](bufferevent* c, void*) {
@@ -78,19 +78,20 @@
         evbuffer_drain(input, evbuffer_get_length(input));
       },
       [](bufferevent* c, void*) { shutdown(bufferevent_getfd(c), SHUT_WR); },
-      [](bufferevent* c, short, void* self) { over(c, self); }, this);
-  bufferevent_set_timeouts(connection, &kPatience, &kPatience);
+      [](bufferevent* c, short, void* self) { close_connection(c, self); }, this);
+  bufferevent_set_timeouts(connection, &kTimeout, &kTimeout);
   bufferevent_enable(connection, EV_READ | EV_WRITE);
   bufferevent_write(connection, line.data(), line.size());
 }
 
-// Out of descriptors, libevent would try again without a pause.
-void AgentCheck::rest_listener() {
+// Without a pause libevent would retry accept in a busy loop when the process is out of descriptors.
+void AgentCheck::pause_listener() {
   evconnlistener_disable(listener_.get());
-  accept_again_ = loop_.at(loop_.now() + kAcceptRest, [this] { evconnlistener_enable(listener_.get()); });
+  resume_timer_ =
+      loop_.at(loop_.now() + kAcceptRetryDelay, [this] { evconnlistener_enable(listener_.get()); });
 }
 
-void AgentCheck::over(bufferevent* connection, void* self) {
+void AgentCheck::close_connection(bufferevent* connection, void* self) {
   static_cast<AgentCheck*>(self)->connections_.erase(connection);
 }
 
--- a/src/net/appliance/agent_check.hpp
+++ b/src/net/appliance/agent_check.hpp
@@ -1,5 +1,5 @@
-// The agent-check of common balancers: a TCP connection gets one line, "up 75%", "drain" or "down", and is
-// closed.
+// The agent-check protocol of common load balancers: each TCP connection is sent one line, "up 75%", "drain"
+// or "down", and is closed.
 #pragma once
 
 #include <functional>
@@ -10,17 +10,18 @@
 
 namespace bankmux::net {
 
+// What the agent-check reports about this appliance.
 struct Standing {
   enum class State { up, drain, down } state = State::up;
-  int weight = 100;  // percent of the weight that the balancer has for this appliance
+  int weight = 100;  // percent of the weight that the balancer has configured for this appliance
 };
 
-// One line of the agent-check protocol, its end included.
+// The line for `standing`, including the newline. An "up" line carries a weight of 1 to 100 percent.
 std::string agent_line(const Standing& standing);
 
 class AgentCheck {
  public:
-  // Throws std::runtime_error where it cannot listen.
+  // Calls `standing` for each connection. Throws std::runtime_error if it cannot listen at `address`.
   AgentCheck(Loop& loop, const std::string& address, std::function<Standing()> standing);
   AgentCheck(const AgentCheck&) = delete;
   AgentCheck& operator=(const AgentCheck&) = delete;
@@ -29,14 +30,14 @@
 
  private:
   void accept(evutil_socket_t socket);
-  void rest_listener();
-  static void over(bufferevent* connection, void* self);
+  void pause_listener();
+  static void close_connection(bufferevent* connection, void* self);
 
   Loop& loop_;
   std::function<Standing()> standing_;
   std::map<bufferevent*, BufferEventPtr> connections_;
   ListenerPtr listener_;
-  std::unique_ptr<core::Timer> accept_again_;
+  std::unique_ptr<core::Timer> resume_timer_;
 };
 
 }  // namespace bankmux::net
--- a/src/net/appliance/box_watch.cpp
+++ b/src/net/appliance/box_watch.cpp
@@ -11,128 +11,135 @@
 
 namespace {
 
-constexpr int kFailuresToGone = 2;  // one lost call alone takes nothing out of service
+constexpr int kFailuresUntilDown = 2;  // a single lost check does not take an instance out of service
 
 }  // namespace
 
-BoxWatch::BoxWatch(core::Scheduler& scheduler, core::Instances& instances, const config::Appliance& appliance,
-                   News news)
-    : scheduler_(scheduler), instances_(instances), every_(appliance.check_every), news_(std::move(news)) {
-  follow(appliance);
+InstanceMonitor::InstanceMonitor(core::Scheduler& scheduler, core::Instances& instances,
+                                 const config::Appliance& appliance, UpdateHandler on_update)
+    : scheduler_(scheduler),
+      instances_(instances),
+      interval_(appliance.check_every),
+      on_update_(std::move(on_update)) {
+  apply_config(appliance);
 }
 
-void BoxWatch::follow(const config::Appliance& appliance) {
-  const std::vector<Box> before = std::exchange(boxes_, {});
-  every_ = appliance.check_every;
-  for (const config::Box& box : appliance.boxes) {
-    Box now;
-    const auto old = std::ranges::find_if(before, [&box](const Box& other) {
-      return other.listed.id == box.id && other.listed.address == box.address;
+void InstanceMonitor::apply_config(const config::Appliance& appliance) {
+  const std::vector<Instance> previous_list = std::exchange(monitored_, {});
+  interval_ = appliance.check_every;
+  for (const config::Instance& instance : appliance.boxes) {
+    Instance updated;
+    const auto previous = std::ranges::find_if(previous_list, [&instance](const Instance& other) {
+      return other.listed.id == instance.id && other.listed.address == instance.address;
     });
-    if (old != before.end()) now = *old;
-    now.listed.id = box.id;
-    now.listed.address = box.address;
-    now.listed.entry.engine = eiderarch::wire::key_of(box.id);
-    now.listed.entry.rating = box.weight;
-    // Another process under a name that is known: it is cold, and keeps nothing.
-    const bool moved = old == before.end() && std::ranges::any_of(before, [&box](const Box& other) {
-                         return other.listed.id == box.id;
+    if (previous != previous_list.end()) updated = *previous;
+    updated.listed.id = instance.id;
+    updated.listed.address = instance.address;
+    updated.listed.entry.engine = eiderarch::wire::key_of(instance.id);
+    updated.listed.entry.rating = instance.weight;
+    // A known id at a new address is another process: it starts cold, and none of the old state applies.
+    const bool moved = previous == previous_list.end() &&
+                       std::ranges::any_of(previous_list, [&instance](const Instance& other) {
+                         return other.listed.id == instance.id;
                        });
-    if (moved) now.listed.entry.started = scheduler_.now();
-    boxes_.push_back(std::move(now));
+    if (moved) updated.listed.entry.started = scheduler_.now();
+    monitored_.push_back(std::move(updated));
   }
 }
 
-void BoxWatch::reload(const config::Appliance& appliance) {
-  follow(appliance);
-  open();
+void InstanceMonitor::reload(const config::Appliance& appliance) {
+  apply_config(appliance);
+  start();
 }
 
-void BoxWatch::open() {
-  tell();
-  ask();
+void InstanceMonitor::start() {
+  publish();
+  probe_all();
 }
 
-void BoxWatch::ask() {
-  next_ = scheduler_.at(scheduler_.now() + every_, [this] { ask(); });
-  if (fleet_ && !fleet_->asks()) {
-    for (Box& box : boxes_) {
-      if (const auto runs = fleet_->runs(box.listed.id)) believe(box, *runs);
+void InstanceMonitor::probe_all() {
+  next_probe_ = scheduler_.at(scheduler_.now() + interval_, [this] { probe_all(); });
+  if (shared_probing_ && !shared_probing_->should_probe()) {
+    for (Instance& instance : monitored_) {
+      if (const auto runs = shared_probing_->reported_running(instance.listed.id))
+        set_running(instance, *runs);
     }
     return;
   }
-  if (fleet_ && fleet_->heard) {
-    std::map<std::string, bool> all;  // by the answers of the round before
-    for (const Box& box : boxes_) all[box.listed.id] = box.runs;
-    fleet_->heard(all);
+  if (shared_probing_ && shared_probing_->report) {
+    std::map<std::string, bool> all;  // from the results of the previous round
+    for (const Instance& instance : monitored_) all[instance.listed.id] = instance.runs;
+    shared_probing_->report(all);
   }
-  for (const Box& box : boxes_) {
-    ++asked_;
-    const core::Target target{box.listed.entry.engine, box.listed.id, box.listed.address};
+  for (const Instance& instance : monitored_) {
+    ++probes_sent_;
+    const core::Target target{instance.listed.entry.engine, instance.listed.id, instance.listed.address};
     const auto may_write = [] { return true; };
     instances_.probe(target, may_write, [this, target](const core::AttemptResult& result) {
-      heard(target, result.verdict != core::Verdict::broken);
+      on_probe_result(target, result.verdict != core::Verdict::broken);
     });
   }
 }
 
-void BoxWatch::heard(const core::Target& target, bool runs) {
-  Box* const found = find(target.id);
-  // A reload may have taken it from the list, or moved it, since it was asked.
+void InstanceMonitor::on_probe_result(const core::Target& target, bool runs) {
+  Instance* const found = find(target.id);
+  // A reload may have removed the instance or changed its address since the check was sent.
   if (found == nullptr || found->listed.address != target.address) return;
-  Box& box = *found;
-  box.failures = runs ? 0 : box.failures + 1;
-  believe(box, box.failures < kFailuresToGone);
+  Instance& instance = *found;
+  instance.failures = runs ? 0 : instance.failures + 1;
+  set_running(instance, instance.failures < kFailuresUntilDown);
 }
 
-void BoxWatch::believe(Box& box, bool runs) {
-  if (runs == box.runs) return;
-  box.runs = runs;
-  if (!runs) box.failures = kFailuresToGone;
-  // It may have started anew meanwhile, and is treated as cold.
-  if (runs) box.listed.entry.started = scheduler_.now();
-  tell();
+void InstanceMonitor::set_running(Instance& instance, bool runs) {
+  if (runs == instance.runs) return;
+  instance.runs = runs;
+  if (!runs) instance.failures = kFailuresUntilDown;
+  // It may have restarted in the meantime and is treated as cold.
+  if (runs) instance.listed.entry.started = scheduler_.now();
+  publish();
 }
 
-void BoxWatch::set_out(const std::set<std::string>& ids) {
+void InstanceMonitor::set_drained(const std::set<std::string>& ids) {
   bool changed = false;
-  for (Box& box : boxes_) {
-    const bool out = ids.contains(box.listed.id);
-    changed |= std::exchange(box.drained, out) != out;
+  for (Instance& instance : monitored_) {
+    const bool drained = ids.contains(instance.listed.id);
+    changed |= std::exchange(instance.drained, drained) != drained;
   }
-  if (changed) tell();
+  if (changed) publish();
 }
 
-bool BoxWatch::has(const std::string& id) const {
-  return std::ranges::any_of(boxes_, [&id](const Box& box) { return box.listed.id == id; });
+bool InstanceMonitor::has(const std::string& id) const {
+  return std::ranges::any_of(monitored_,
+                             [&id](const Instance& instance) { return instance.listed.id == id; });
 }
 
-BoxWatch::Box* BoxWatch::find(const std::string& id) {
-  const auto box = std::ranges::find(boxes_, id, [](const Box& b) { return b.listed.id; });
-  return box == boxes_.end() ? nullptr : &*box;
+InstanceMonitor::Instance* InstanceMonitor::find(const std::string& id) {
+  const auto instance = std::ranges::find(monitored_, id, [](const Instance& b) { return b.listed.id; });
+  return instance == monitored_.end() ? nullptr : &*instance;
 }
 
-bool BoxWatch::drain(const std::string& id, bool on) {
-  Box* const box = find(id);
-  if (box == nullptr) return false;
-  box->drained = on;
-  tell();
+bool InstanceMonitor::drain(const std::string& id, bool on) {
+  Instance* const instance = find(id);
+  if (instance == nullptr) return false;
+  instance->drained = on;
+  publish();
   return true;
 }
 
-std::size_t BoxWatch::serving() const {
-  return std::size_t(std::ranges::count_if(boxes_, [](const Box& b) { return b.runs && !b.drained; }));
+std::size_t InstanceMonitor::serving_count() const {
+  return std::size_t(
+      std::ranges::count_if(monitored_, [](const Instance& b) { return b.runs && !b.drained; }));
 }
 
-void BoxWatch::tell() {
-  core::FleetNews news{eiderarch::ListScope::complete, {}};
-  for (Box& box : boxes_) {
-    box.listed.entry.state = !box.runs     ? EngineState::gone
-                             : box.drained ? EngineState::draining
-                                           : EngineState::live;
-    news.entries.push_back(box.listed);
+void InstanceMonitor::publish() {
+  core::FleetNews update{eiderarch::ListScope::complete, {}};
+  for (Instance& instance : monitored_) {
+    instance.listed.entry.state = !instance.runs     ? EngineState::gone
+                                  : instance.drained ? EngineState::draining
+                                                     : EngineState::live;
+    update.entries.push_back(instance.listed);
   }
-  news_(std::move(news));
+  on_update_(std::move(update));
 }
 
 }  // namespace bankmux::net
--- a/src/net/appliance/box_watch.hpp
+++ b/src/net/appliance/box_watch.hpp
@@ -1,5 +1,5 @@
-// Discovery for the appliance: the boxes of its file, asked now and then whether they run, and what the
-// operator takes out of service.
+// Discovery for the appliance: lists the instances of its configuration file, checks their health at an
+// interval and marks those that an operator drains.
 #pragma once
 
 #include <functional>
@@ -15,59 +15,60 @@
 
 namespace bankmux::net {
 
-class BoxWatch : public core::Discovery {
+class InstanceMonitor : public core::Discovery {
  public:
-  using News = std::function<void(core::FleetNews)>;
-  BoxWatch(core::Scheduler& scheduler, core::Instances& instances, const config::Appliance& appliance,
-           News news);
+  using UpdateHandler = std::function<void(core::FleetNews)>;
+  InstanceMonitor(core::Scheduler& scheduler, core::Instances& instances, const config::Appliance& appliance,
+                  UpdateHandler on_update);
 
-  // Lists every box as running, then asks.
-  void open();
-  // Follows these boxes from now on. Those that were there under the same name and address keep what is known
-  // of them, drains included.
+  // Publishes every instance as running, then starts the health checks.
+  void start();
+  // Replaces the list of instances. Those with an unchanged id and address keep their state, including a
+  // drain.
   void reload(const config::Appliance& appliance);
   void subscribe() override {}
-  void fetch() override { tell(); }
-  // Takes a box out of service, or back; false where there is none of that name.
+  void fetch() override { publish(); }
+  // Drains an instance or, with `on` false, returns it to service; returns false if the id is unknown.
   bool drain(const std::string& id, bool on);
-  // Where several processes share the asking. Left out: this one asks by itself.
-  struct Fleet {
-    std::function<bool()> asks;  // whether this process has to ask now
-    std::function<std::optional<bool>(const std::string&)>
-        runs;  // what another has told of a box, if it stands
-    std::function<void(const std::map<std::string, bool>&)> heard;  // what this one believes, after asking
+  // Callbacks for processes that share health checks. If not set, this process checks all instances itself.
+  struct SharedProbing {
+    std::function<bool()> should_probe;  // whether this process has to run the checks now
+    // Whether an instance runs according to another process; nullopt without a valid report.
+    std::function<std::optional<bool>(const std::string&)> reported_running;
+    // Receives this process's results before each round of checks: whether each instance runs, by id.
+    std::function<void(const std::map<std::string, bool>&)> report;
   };
-  void share(Fleet fleet) { fleet_ = std::move(fleet); }
-  // The boxes that operators have taken out, all of them.
-  void set_out(const std::set<std::string>& ids);
+  void share_probing(SharedProbing callbacks) { shared_probing_ = std::move(callbacks); }
+  // Drains exactly the instances with these ids.
+  void set_drained(const std::set<std::string>& ids);
   [[nodiscard]] bool has(const std::string& id) const;
-  // Questions sent to boxes so far.
-  [[nodiscard]] std::uint64_t asked() const { return asked_; }
-  // Boxes that take new requests.
-  [[nodiscard]] std::size_t serving() const;
+  // Number of health checks sent so far.
+  [[nodiscard]] std::uint64_t probes_sent() const { return probes_sent_; }
+  // Number of instances that accept new requests.
+  [[nodiscard]] std::size_t serving_count() const;
 
  private:
-  struct Box {
+  struct Instance {
     core::Listed listed;
     bool runs = true;
     bool drained = false;
     int failures = 0;
   };
-  void follow(const config::Appliance& appliance);
-  void ask();
-  void heard(const core::Target& target, bool runs);
-  void believe(Box& box, bool runs);
-  [[nodiscard]] Box* find(const std::string& id);
-  void tell();
+  void apply_config(const config::Appliance& appliance);
+  void probe_all();
+  void on_probe_result(const core::Target& target, bool runs);
+  void set_running(Instance& instance, bool runs);
+  [[nodiscard]] Instance* find(const std::string& id);
+  void publish();
 
   core::Scheduler& scheduler_;
   core::Instances& instances_;
-  core::Duration every_;
-  News news_;
-  std::vector<Box> boxes_;
-  std::optional<Fleet> fleet_;
-  std::uint64_t asked_ = 0;
-  std::unique_ptr<core::Timer> next_;
+  core::Duration interval_;
+  UpdateHandler on_update_;
+  std::vector<Instance> monitored_;
+  std::optional<SharedProbing> shared_probing_;
+  std::uint64_t probes_sent_ = 0;
+  std::unique_ptr<core::Timer> next_probe_;
 };
 
 }  // namespace bankmux::net
--- a/src/net/appliance/operator_page.cpp
+++ b/src/net/appliance/operator_page.cpp
@@ -15,16 +15,16 @@
 
 namespace {
 
-constexpr std::size_t kTenantsShown = 20;  // on the status page; /-/tenants has them all
+constexpr std::size_t kMaxTenantsOnStatusPage = 20;  // /-/tenants shows all
 
-json use_json(const admission::TenantUse& use) {
+json tenant_json(const admission::TenantUse& use) {
   return {{"tenant", use.name},       {"open", use.open},        {"admitted", use.admitted},
           {"tokens", use.tokens},     {"limited", use.limited},  {"over_share", use.over_share},
           {"held_off", use.held_off}, {"replayed", use.replayed}};
 }
 
-// Percent-encoding undone; nothing where it is not sound.
-std::optional<std::string> decoded(const std::string& text) {
+// Decodes percent-encoding; nullopt if it is malformed.
+std::optional<std::string> percent_decoded(const std::string& text) {
   std::string out;
   for (std::size_t i = 0; i < text.size(); ++i) {
     if (text[i] != '%') {
@@ -33,15 +33,15 @@
     }
     unsigned value = 0;
     if (text.size() - i < 3) return std::nullopt;
-    const auto [end, problem] = std::from_chars(&text[i + 1], &text[i + 3], value, 16);
-    if (problem != std::errc() || end != &text[i + 3]) return std::nullopt;
+    const auto [end, error] = std::from_chars(&text[i + 1], &text[i + 3], value, 16);
+    if (error != std::errc() || end != &text[i + 3]) return std::nullopt;
     out += char(value);
     i += 2;
   }
   return out;
 }
 
-const char* word(eiderarch::EngineState state) {
+const char* state_name(eiderarch::EngineState state) {
   switch (state) {
     case eiderarch::EngineState::live:
       return "up";
@@ -56,25 +56,26 @@
 }  // namespace
 
 OperatorPage::OperatorPage(const core::Conductor& conductor, const core::Scheduler& scheduler,
-                           BoxWatch& boxes, const admission::Door& door, const config::Appliance& appliance)
+                           InstanceMonitor& monitor, const admission::Door& door,
+                           const config::Appliance& appliance)
     : conductor_(conductor),
       scheduler_(scheduler),
-      boxes_(boxes),
+      monitor_(monitor),
       door_(door),
       appliance_(appliance),
       started_(scheduler.now()) {}
 
 Standing OperatorPage::standing() const {
-  const std::size_t serving = boxes_.serving();
+  const std::size_t serving = monitor_.serving_count();
   if (serving == 0) return {Standing::State::down, 0};
-  if (drained_ || ending_) return {Standing::State::drain, 0};
-  const double boxes = double(serving) / double(appliance_.boxes.size());
-  const double room = 1.0 - double(conductor_.open_requests()) / double(conductor_.most_requests());
-  return {Standing::State::up, int(std::lround(100.0 * boxes * room))};
+  if (drained_by_operator_ || shutting_down_) return {Standing::State::drain, 0};
+  const double serving_fraction = double(serving) / double(appliance_.boxes.size());
+  const double free_fraction = 1.0 - double(conductor_.open_requests()) / double(conductor_.most_requests());
+  return {Standing::State::up, int(std::lround(100.0 * serving_fraction * free_fraction))};
 }
 
 std::string OperatorPage::status() const {
-  const core::Figures& f = conductor_.figures();
+  const core::Figures& counters = conductor_.figures();
   const Standing standing = this->standing();
   std::string line = agent_line(standing);
   line.pop_back();
@@ -84,25 +85,25 @@
               {"requests",
                {{"open", conductor_.open_requests()},
                 {"most", conductor_.most_requests()},
-                {"taken", f.taken},
-                {"served", f.served},
-                {"refused", f.refused},
-                {"failed", f.failed},
-                {"broken", f.broken},
-                {"client_gone", f.gone},
-                {"continued", f.continued},
-                {"saved", f.saved},
-                {"end_added", f.finished},
-                {"suspected", f.suspected},
-                {"attempts", f.attempts}}},
+                {"taken", counters.taken},
+                {"served", counters.served},
+                {"refused", counters.refused},
+                {"failed", counters.failed},
+                {"broken", counters.broken},
+                {"client_gone", counters.gone},
+                {"continued", counters.continued},
+                {"saved", counters.saved},
+                {"end_added", counters.finished},
+                {"suspected", counters.suspected},
+                {"attempts", counters.attempts}}},
               {"boxes", json::array()}};
-  for (const config::Box& box : appliance_.boxes) {
+  for (const config::Instance& instance : appliance_.boxes) {
     for (const auto& [engine, member] : conductor_.fleet().members()) {
-      if (member.target.id != box.id) continue;
-      out["boxes"].push_back({{"id", box.id},
-                              {"address", box.address},
-                              {"state", word(member.entry.state)},
-                              {"weight", box.weight},
+      if (member.target.id != instance.id) continue;
+      out["boxes"].push_back({{"id", instance.id},
+                              {"address", instance.address},
+                              {"state", state_name(member.entry.state)},
+                              {"weight", instance.weight},
                               {"out", conductor_.out_at(engine)}});
     }
   }
@@ -115,24 +116,24 @@
                  {"tenants", json::array()}};
   std::vector<const admission::TenantUse*> busiest;
   for (const auto& [name, use] : door_.tenants()) busiest.push_back(&use);
-  const std::size_t shown = std::min(busiest.size(), kTenantsShown);
+  const std::size_t shown = std::min(busiest.size(), kMaxTenantsOnStatusPage);
   std::ranges::partial_sort(busiest, busiest.begin() + std::ptrdiff_t(shown),
                             [](const auto* a, const auto* b) {
                               return std::tuple(a->open, a->admitted) > std::tuple(b->open, b->admitted);
                             });
-  for (std::size_t i = 0; i < shown; ++i) out["door"]["tenants"].push_back(use_json(*busiest[i]));
+  for (std::size_t i = 0; i < shown; ++i) out["door"]["tenants"].push_back(tenant_json(*busiest[i]));
   return out.dump(-1, ' ', false, json::error_handler_t::replace);
 }
 
-// Each tenant with its use, and its keys with their limits and what is left of them.
+// Each tenant with its usage and its keys, and for each key the limits and what remains of them.
 std::string OperatorPage::tenants() const {
   std::map<std::string, json> all;
-  for (const auto& [name, use] : door_.tenants()) all[name] = use_json(use);
+  for (const auto& [name, use] : door_.tenants()) all[name] = tenant_json(use);
   if (door_.keys()) {
     for (const auto& [id, key] : door_.keys()->keys()) {
       const auto standing = door_.limiter().standing(scheduler_.now(), id, key.limits);
       const auto [it, fresh] = all.try_emplace(key.tenant);
-      if (fresh) it->second = use_json({key.tenant});
+      if (fresh) it->second = tenant_json({key.tenant});
       const auto limit = [](std::int64_t most, std::int64_t left) {
         return most > 0 ? json{{"limit", most}, {"left", left}} : json(nullptr);
       };
@@ -165,20 +166,20 @@
   return out.dump(-1, ' ', false, json::error_handler_t::replace);
 }
 
-void OperatorPage::drain_box(std::unique_ptr<Incoming> incoming, const std::string& id, bool out) {
-  if (!boxes_.has(id)) return incoming->answer(404, {}, "no such box\n");
-  if (!fleet_) {
-    boxes_.drain(id, out);
+void OperatorPage::drain_instance(std::unique_ptr<Incoming> incoming, const std::string& id, bool drained) {
+  if (!monitor_.has(id)) return incoming->answer(404, {}, "no such box\n");
+  if (!shared_operations_) {
+    monitor_.drain(id, drained);
     return incoming->answer(204, {}, "");
   }
-  // To all first: another process may be the one that sends there by the time of the yes.
-  const auto held = std::make_shared<std::unique_ptr<Incoming>>(std::move(incoming));
-  fleet_->drain(id, out, [this, held, id, out](bool written) {
+  // Applies it to all processes before answering, because another process may send requests to the instance.
+  const auto pending = std::make_shared<std::unique_ptr<Incoming>>(std::move(incoming));
+  shared_operations_->drain(id, drained, [this, pending, id, drained](bool written) {
     if (!written) {
-      return (*held)->answer(503, {{"Retry-After", "1"}}, "could not be written down; call again\n");
+      return (*pending)->answer(503, {{"Retry-After", "1"}}, "could not be written down; call again\n");
     }
-    boxes_.drain(id, out);
-    (*held)->answer(204, {}, "");
+    monitor_.drain(id, drained);
+    (*pending)->answer(204, {}, "");
   });
 }
 
@@ -192,13 +193,14 @@
     return incoming->answer(200, {{"Content-Type", "application/json"}}, tenants());
   }
   if (path == "/-/duties" && method == "GET") {
-    if (!fleet_) return incoming->answer(404, {}, "no 'coordination' in this appliance's file\n");
-    return incoming->answer(200, {{"Content-Type", "application/json"}},
-                            fleet_->duties().dump(-1, ' ', false, json::error_handler_t::replace));
+    if (!shared_operations_) return incoming->answer(404, {}, "no 'coordination' in this appliance's file\n");
+    return incoming->answer(
+        200, {{"Content-Type", "application/json"}},
+        shared_operations_->duties().dump(-1, ' ', false, json::error_handler_t::replace));
   }
   constexpr std::string_view kLedger = "/-/ledger/";
   if (path.starts_with(kLedger) && method == "GET") {
-    const auto key = decoded(path.substr(kLedger.size()));
+    const auto key = percent_decoded(path.substr(kLedger.size()));
     if (!key) return incoming->answer(400, {}, "the key is not sound percent-encoding\n");
     return incoming->answer(200, {{"Content-Type", "application/json"}}, ledger(*key));
   }
@@ -207,16 +209,16 @@
     return incoming->answer(up ? 200 : 503, {}, agent_line(standing()));
   }
   if (method == "POST" && (path == "/-/drain" || path == "/-/resume")) {
-    drained_ = path == "/-/drain";
+    drained_by_operator_ = path == "/-/drain";
     return incoming->answer(204, {}, "");
   }
   constexpr std::string_view kBoxes = "/-/boxes/";
   const std::size_t slash = path.rfind('/');
-  const std::string word = path.substr(slash + 1);
+  const std::string action = path.substr(slash + 1);
   if (method == "POST" && path.starts_with(kBoxes) && slash > kBoxes.size() &&
-      (word == "drain" || word == "resume")) {
+      (action == "drain" || action == "resume")) {
     const std::string id = path.substr(kBoxes.size(), slash - kBoxes.size());
-    return drain_box(std::move(incoming), id, word == "drain");
+    return drain_instance(std::move(incoming), id, action == "drain");
   }
   incoming->answer(404, {}, "no such page\n");
 }
--- a/src/net/appliance/operator_page.hpp
+++ b/src/net/appliance/operator_page.hpp
@@ -1,6 +1,6 @@
-// What the operator's console and commands read and say: GET /-/status, /-/tenants, /-/duties and
-// /-/ledger/KEY, POST
-// /-/boxes/ID/drain and /resume, POST /-/drain and /resume for the whole appliance.
+// The HTTP interface of the operator's console and commands: GET /-/status, /-/tenants, /-/duties, /-/healthy
+// and /-/ledger/KEY, POST /-/boxes/ID/drain and /resume for one instance, POST /-/drain and /-/resume for the
+// whole appliance.
 #pragma once
 
 #include <functional>
@@ -20,39 +20,40 @@
 
 class OperatorPage {
  public:
-  OperatorPage(const core::Conductor& conductor, const core::Scheduler& scheduler, BoxWatch& boxes,
+  OperatorPage(const core::Conductor& conductor, const core::Scheduler& scheduler, InstanceMonitor& monitor,
                const admission::Door& door, const config::Appliance& appliance);
 
-  // Where several processes share operators' words: `drain` says it to all, and then whether it was written;
-  // `duties` is what /-/duties shows.
-  struct Fleet {
-    std::function<void(const std::string& id, bool out, std::function<void(bool)> done)> drain;
+  // Callbacks for processes that coordinate through a store: `drain` applies a drain or resume in all of them
+  // and then calls `done` with whether it was written; `duties` returns the content of /-/duties.
+  struct SharedOperations {
+    std::function<void(const std::string& id, bool drained, std::function<void(bool)> done)> drain;
     std::function<nlohmann::json()> duties;
   };
-  void share(Fleet fleet) { fleet_ = std::move(fleet); }
+  void share_operations(SharedOperations callbacks) { shared_operations_ = std::move(callbacks); }
 
   void handle(std::unique_ptr<Incoming> incoming);
-  // The process has been told to end.
-  void set_ending() { ending_ = true; }
-  // What balancers are told: down with no box that serves, drain on the operator's word or at the end, else
-  // up with the part of the boxes and of the request table that is free.
+  // The process is shutting down, so that standing() is at best drain.
+  void set_shutting_down() { shutting_down_ = true; }
+  // The state for load balancers: down if no instance serves, drain if an operator drained the appliance or
+  // it shuts down, otherwise up. The weight is the fraction of instances that serve times the free fraction
+  // of the request table.
   [[nodiscard]] Standing standing() const;
 
  private:
   [[nodiscard]] std::string status() const;
   [[nodiscard]] std::string tenants() const;
   [[nodiscard]] std::string ledger(const std::string& key) const;
-  void drain_box(std::unique_ptr<Incoming> incoming, const std::string& id, bool out);
+  void drain_instance(std::unique_ptr<Incoming> incoming, const std::string& id, bool drained);
 
   const core::Conductor& conductor_;
   const core::Scheduler& scheduler_;
-  BoxWatch& boxes_;
+  InstanceMonitor& monitor_;
   const admission::Door& door_;
   const config::Appliance& appliance_;
   core::Time started_;
-  std::optional<Fleet> fleet_;
-  bool drained_ = false;
-  bool ending_ = false;
+  std::optional<SharedOperations> shared_operations_;
+  bool drained_by_operator_ = false;
+  bool shutting_down_ = false;
 };
 
 }  // namespace bankmux::net
--- a/src/operations/maintenance.cpp
+++ b/src/operations/maintenance.cpp
@@ -8,27 +8,27 @@
 
 namespace {
 
-constexpr std::string_view kForm = "bankmux maintenance 1\n";
+constexpr std::string_view kHeader = "bankmux maintenance 1\n";
 
 }  // namespace
 
-std::string encode(const Ids& out) { return std::string(kForm) + nlohmann::json(out).dump() + "\n"; }
+std::string encode(const Ids& ids) { return std::string(kHeader) + nlohmann::json(ids).dump() + "\n"; }
 
 std::optional<Ids> decode(std::string_view text) {
-  // The last byte tells a file that was cut short.
-  if (!text.starts_with(kForm) || !text.ends_with("\n")) return std::nullopt;
-  const auto list = nlohmann::json::parse(text.substr(kForm.size()), nullptr, false);
-  if (!list.is_array() || list.size() > kMostOut) return std::nullopt;
-  Ids out;
+  // A truncated file lacks the final newline.
+  if (!text.starts_with(kHeader) || !text.ends_with("\n")) return std::nullopt;
+  const auto list = nlohmann::json::parse(text.substr(kHeader.size()), nullptr, false);
+  if (!list.is_array() || list.size() > kMaxIds) return std::nullopt;
+  Ids ids;
   for (const auto& id : list) {
     if (!id.is_string() || !plain_id(id.get_ref<const std::string&>())) return std::nullopt;
-    out.insert(id.get<std::string>());
+    ids.insert(id.get<std::string>());
   }
-  return out;
+  return ids;
 }
 
 bool plain_id(std::string_view id) {
-  return !id.empty() && id.size() <= kMostIdBytes && std::ranges::all_of(id, [](unsigned char c) {
+  return !id.empty() && id.size() <= kMaxIdBytes && std::ranges::all_of(id, [](unsigned char c) {
     return std::isalnum(c) || c == '-' || c == '_' || c == '.' || c == ':';
   });
 }
--- a/src/operations/maintenance.hpp
+++ b/src/operations/maintenance.hpp
@@ -1,5 +1,5 @@
-// Which instances are out for maintenance by an operator's word, and how a file says so. Pure: no file, no
-// clock. An id is out or it is not: one call back answers any number of calls out.
+// The set of instances that operators have taken out of rotation for maintenance, and its file format. Does
+// no I/O and reads no clock. It is a set, not a counter: one enable call ends any number of disable calls.
 #pragma once
 
 #include <optional>
@@ -11,16 +11,18 @@
 
 using Ids = std::set<std::string>;
 
-// Guards memory and the time that a reader of the file needs; a list holds at most 4,096 instances.
-constexpr std::size_t kMostOut = 4096;
-constexpr std::size_t kMostIdBytes = 128;
+// Bounds memory and the time to read the file. A discovery list holds at most 4,096 instances.
+constexpr std::size_t kMaxIds = 4096;
+constexpr std::size_t kMaxIdBytes = 128;
 
-// The file's text: one line that names the form, then a JSON list of ids, in order.
-std::string encode(const Ids& out);
-// Nothing where the text is not whole and of this form: what is spoilt is never taken for "none is out".
+// The file's text: one line that names the format, then a sorted JSON list of ids.
+std::string encode(const Ids& ids);
+// Returns nullopt unless the text is complete and of this format, so that a damaged file is never read as an
+// empty set.
 std::optional<Ids> decode(std::string_view text);
 
-// An id from a call's path: letters, digits, '-', '_', '.', ':', at most kMostIdBytes.
+// Whether an id from a request's path is well-formed: 1 to kMaxIdBytes letters, digits, '-', '_', '.' and
+// ':'.
 bool plain_id(std::string_view id);
 
 }  // namespace bankmux::operations
--- a/src/operations/passed_stream.hpp
+++ b/src/operations/passed_stream.hpp
@@ -1,5 +1,5 @@
-// How one process of a conductor tells the next of a stream that runs: one message, CBOR (RFC 8949), with the
-// two connections' descriptors beside it. Pure.
+// The message by which one process of a conductor hands a running stream over to the next: CBOR (RFC 8949),
+// sent together with the descriptors of the client's and the instance's connection. Does no I/O.
 #pragma once
 
 #include <optional>
@@ -10,19 +10,21 @@
 
 namespace bankmux::operations {
 
-// What the one that takes over says first: which format it reads. Others are not spoken to.
+// The first text that the receiving process sends: the format that it reads. The sender serves no other
+// format.
 constexpr std::string_view kStreamsHello = "bankmux-streams 1\n";
 
-constexpr std::size_t kMostMessage = 160 * 1024;  // of one stream; what is longer is not passed on
+constexpr std::size_t kMostMessage =
+    160 * 1024;  // bytes of one stream's message; longer streams are not handed over
 
 struct PassedStream {
-  std::string name;            // of the request, at the instances
+  std::string name;            // the request's name at the instances
   core::RunningStream stream;  // without payload and descriptors
 };
 
-// Empty where it would be too long.
+// Returns an empty string if the message would exceed kMostMessage bytes.
 std::string encode(const std::string& name, const core::RunningStream& stream);
-// Nothing where it is not what encode() writes, or a figure is out of its range.
+// Returns nullopt if the message is not in encode()'s format or a number is out of range.
 std::optional<PassedStream> decode_stream(std::string_view message);
 
 }  // namespace bankmux::operations
