--- a/src/operations/passed_stream.hpp
+++ b/src/operations/passed_stream.hpp
@@ -14,8 +14,8 @@
 // format.
 constexpr std::string_view kStreamsHello = "bankmux-streams 1\n";
 
-constexpr std::size_t kMostMessage =
-    160 * 1024;  // bytes of one stream's message; longer streams are not handed over
+// Bytes of one stream's message; a stream with a longer one is not handed over.
+constexpr std::size_t kMostMessage = 160 * 1024;
 
 struct PassedStream {
   std::string name;            // the request's name at the instances
--- a/tests/config_test.cpp
+++ b/tests/config_test.cpp
@@ -1,4 +1,4 @@
-// Configuration: what is read, what is defaulted, and that every complaint names its key.
+// Configuration: which values are read, which defaults apply, and that every error message names its key.
 #include "config/config.hpp"
 
 #include <catch2/catch.hpp>
@@ -14,7 +14,7 @@
 
 namespace {
 
-const char* nothing(const char*) { return nullptr; }
+const char* no_environment(const char*) { return nullptr; }
 
 json document() {
   return {{"name", "n1"},
@@ -31,27 +31,27 @@
     "boxes": [{"id": "b", "address": "127.0.0.1:9001"}]})");
 }
 
-using Change = std::function<void(json&)>;
-struct Fault {
+using Mutation = std::function<void(json&)>;
+struct InvalidCase {
   const char* key;
-  Change change;
+  Mutation mutate;
 };
 
 template <typename Parse>
-void check_faults(const json& good, const std::vector<Fault>& faults, Parse parse) {
-  CHECK_NOTHROW(parse(good));
-  for (const Fault& fault : faults) {
-    json bad = good;
-    fault.change(bad);
-    INFO(fault.key);
-    CHECK_THROWS_WITH(parse(bad), Catch::Contains(std::string("'") + fault.key + "'"));
+void check_rejected(const json& valid, const std::vector<InvalidCase>& cases, Parse parse) {
+  CHECK_NOTHROW(parse(valid));
+  for (const InvalidCase& invalid_case : cases) {
+    json invalid = valid;
+    invalid_case.mutate(invalid);
+    INFO(invalid_case.key);
+    CHECK_THROWS_WITH(parse(invalid), Catch::Contains(std::string("'") + invalid_case.key + "'"));
   }
 }
 
 }  // namespace
 
-TEST_CASE("The platform's configuration is read, and the environment wins") {
-  const config::Config c = config::parse_config(document(), nothing);
+TEST_CASE("The platform configuration is read and environment variables take precedence") {
+  const config::Config c = config::parse_config(document(), no_environment);
   CHECK(c.module.seed == 0x8c1f30d27a5be964);
   CHECK(c.classes == std::vector<std::string>{"consulta", "ajuste"});
   CHECK(c.connect_timeout.count() == 250'000);
@@ -65,20 +65,21 @@
   CHECK(config::parse_config(document(), environment).name == "n9");
 }
 
-TEST_CASE("A site has tenants or none, and what has no name is a fault") {
-  json site = document();
-  for (const json& none : {json(), json::array()}) {
-    site["settings"]["tenants"] = none;
-    CHECK(config::parse_config(site, nothing).tenants.empty());
+TEST_CASE("A site may have no tenants and a tenant without a name is rejected") {
+  json modified = document();
+  for (const json& no_tenants : {json(), json::array()}) {
+    modified["settings"]["tenants"] = no_tenants;
+    CHECK(config::parse_config(modified, no_environment).tenants.empty());
   }
-  site["settings"]["tenants"] = json::parse(R"([{"name": "a", "quotaRps": 1.0}, {"name": "b"}])");
-  CHECK(config::parse_config(site, nothing).tenants == std::vector<std::string>{"a", "b"});
-  site["settings"]["tenants"][1] = {{"quotaRps", 1.0}};
-  CHECK_THROWS_WITH(config::parse_config(site, nothing), Catch::Contains("'settings.tenants[1].name'"));
+  modified["settings"]["tenants"] = json::parse(R"([{"name": "a", "quotaRps": 1.0}, {"name": "b"}])");
+  CHECK(config::parse_config(modified, no_environment).tenants == std::vector<std::string>{"a", "b"});
+  modified["settings"]["tenants"][1] = {{"quotaRps", 1.0}};
+  CHECK_THROWS_WITH(config::parse_config(modified, no_environment),
+                    Catch::Contains("'settings.tenants[1].name'"));
 }
 
-TEST_CASE("A fault in the platform's configuration names its key") {
-  check_faults(
+TEST_CASE("An invalid platform configuration is rejected with the name of the key") {
+  check_rejected(
       document(),
       {{"name", [](json& d) { d.erase("name"); }},
        {"listen", [](json& d) { d["listen"] = "here"; }},
@@ -116,82 +117,82 @@
        {"settings.prices", [](json& d) { d["settings"]["prices"] = 7; }},
        {"settings.zone", [](json& d) { d["settings"]["zone"] = 2; }},
        {"addr", [](json& d) { d["known"]["servers"][0]["addr"] = "nowhere"; }}},
-      [](const json& d) { return config::parse_config(d, nothing); });
-  CHECK_THROWS_WITH(config::read_config(nothing), Catch::Contains("PROXY_CONFIG"));
+      [](const json& d) { return config::parse_config(d, no_environment); });
+  CHECK_THROWS_WITH(config::read_config(no_environment), Catch::Contains("PROXY_CONFIG"));
 }
 
-TEST_CASE("A setting that the program does not know is passed over, and named once") {
-  json site = document();
-  CHECK(config::parse_config(site, nothing).unknown.empty());
-  site["settings"]["rules"]["newRuleS"] = 4.0;
-  site["settings"]["brand"] = {{"new", {{"part", 1}}}};
-  for (json& row : site["settings"]["categories"]) row["shade"] = "blue";
-  CHECK(config::parse_config(site, nothing).unknown ==
+TEST_CASE("An unknown setting is ignored and reported once") {
+  json modified = document();
+  CHECK(config::parse_config(modified, no_environment).unknown.empty());
+  modified["settings"]["rules"]["newRuleS"] = 4.0;
+  modified["settings"]["brand"] = {{"new", {{"part", 1}}}};
+  for (json& row : modified["settings"]["categories"]) row["shade"] = "blue";
+  CHECK(config::parse_config(modified, no_environment).unknown ==
         std::vector<std::string>{"brand", "categories[].shade", "rules.newRuleS"});
 }
 
-TEST_CASE("Every number of the settings is held to its range, wherever it stands") {
-  // Whatever number is turned into nonsense: the start ends, and the complaint names the settings.
-  const json good = document();
-  const json flat = good.at("settings").flatten();
+TEST_CASE("Every number in the settings is checked against its range") {
+  // Replaces one number at a time by an impossible value: the error must name a key of the settings.
+  const json valid = document();
+  const json flattened = valid.at("settings").flatten();
   int numbers = 0;
-  for (const auto& [pointer, value] : flat.items()) {
+  for (const auto& [pointer, value] : flattened.items()) {
     if (!value.is_number()) continue;
     ++numbers;
-    json bad = good;
-    bad["settings"][json::json_pointer(pointer)] = -1e15;
+    json invalid = valid;
+    invalid["settings"][json::json_pointer(pointer)] = -1e15;
     INFO(pointer);
-    CHECK_THROWS_WITH(config::parse_config(bad, nothing), Catch::StartsWith("'settings."));
+    CHECK_THROWS_WITH(config::parse_config(invalid, no_environment), Catch::StartsWith("'settings."));
   }
   CHECK(numbers > 20);
 }
 
-TEST_CASE("The appliance's file is read with defaults, and a fault names its key") {
+TEST_CASE("The appliance file is read with defaults and an error names its key") {
   const config::Appliance a = config::parse_appliance(appliance());
   CHECK(a.operator_listen.empty());
   CHECK(a.agent_listen.empty());
   CHECK(a.module.classes.at(0).effect == eiderarch::Effect::safe);
   CHECK(a.boxes.at(0).weight == 1.0);
-  check_faults(appliance(),
-               {{"listen", [](json& d) { d.erase("listen"); }},
-                {"lisen", [](json& d) { d["lisen"] = "127.0.0.1:1"; }},
-                {"agent_listen", [](json& d) { d["agent_listen"] = "x"; }},
-                {"classes", [](json& d) { d["classes"] = json::array(); }},
-                {"classes[0].repeat", [](json& d) { d["classes"][0]["repeat"] = "often"; }},
-                {"classes[0].deadline_s", [](json& d) { d["classes"][0]["deadline_s"] = 0; }},
-                {"models[0].class", [](json& d) { d["models"][0]["class"] = "x"; }},
-                {"boxes[0].address", [](json& d) { d["boxes"][0]["address"] = "x:1"; }},
-                {"boxes[0].id", [](json& d) { d["boxes"][0]["id"] = "a/b"; }},
-                {"boxes[1].id", [](json& d) { d["boxes"].push_back(d["boxes"][0]); }},
-                {"max_body_mib", [](json& d) { d["max_body_mib"] = 60; }},
-                {"cors_origins", [](json& d) { d["cors_origins"] = "*"; }},
-                {"models[0].responses", [](json& d) { d["models"][0]["responses"] = "both"; }},
-                {"max_attempts", [](json& d) { d["max_attempts"] = 1.5; }}},
-               [](const json& d) { return config::parse_appliance(d); });
+  check_rejected(appliance(),
+                 {{"listen", [](json& d) { d.erase("listen"); }},
+                  {"lisen", [](json& d) { d["lisen"] = "127.0.0.1:1"; }},
+                  {"agent_listen", [](json& d) { d["agent_listen"] = "x"; }},
+                  {"classes", [](json& d) { d["classes"] = json::array(); }},
+                  {"classes[0].repeat", [](json& d) { d["classes"][0]["repeat"] = "often"; }},
+                  {"classes[0].deadline_s", [](json& d) { d["classes"][0]["deadline_s"] = 0; }},
+                  {"models[0].class", [](json& d) { d["models"][0]["class"] = "x"; }},
+                  {"boxes[0].address", [](json& d) { d["boxes"][0]["address"] = "x:1"; }},
+                  {"boxes[0].id", [](json& d) { d["boxes"][0]["id"] = "a/b"; }},
+                  {"boxes[1].id", [](json& d) { d["boxes"].push_back(d["boxes"][0]); }},
+                  {"max_body_mib", [](json& d) { d["max_body_mib"] = 60; }},
+                  {"cors_origins", [](json& d) { d["cors_origins"] = "*"; }},
+                  {"models[0].responses", [](json& d) { d["models"][0]["responses"] = "both"; }},
+                  {"max_attempts", [](json& d) { d["max_attempts"] = 1.5; }}},
+                 [](const json& d) { return config::parse_appliance(d); });
 }
 
-TEST_CASE("The published schema finds by itself what it can, and names the key") {
-  check_faults(appliance(),
-               {{"listen", [](json& d) { d.erase("listen"); }},
-                {"lisen", [](json& d) { d["lisen"] = "127.0.0.1:1"; }},
-                {"classes[0].repeat", [](json& d) { d["classes"][0]["repeat"] = "often"; }},
-                {"classes[0].deadline_s", [](json& d) { d["classes"][0]["deadline_s"] = 0; }},
-                {"boxes[0].address", [](json& d) { d["boxes"][0]["address"] = "x:1"; }},
-                {"boxes[0].wieght", [](json& d) { d["boxes"][0]["wieght"] = 1; }},
-                {"max_attempts", [](json& d) { d["max_attempts"] = 1.5; }}},
-               [](const json& d) { config::check_schema(d, config::appliance_schema()); });
+TEST_CASE("The published schema alone rejects invalid files and names the key") {
+  check_rejected(appliance(),
+                 {{"listen", [](json& d) { d.erase("listen"); }},
+                  {"lisen", [](json& d) { d["lisen"] = "127.0.0.1:1"; }},
+                  {"classes[0].repeat", [](json& d) { d["classes"][0]["repeat"] = "often"; }},
+                  {"classes[0].deadline_s", [](json& d) { d["classes"][0]["deadline_s"] = 0; }},
+                  {"boxes[0].address", [](json& d) { d["boxes"][0]["address"] = "x:1"; }},
+                  {"boxes[0].wieght", [](json& d) { d["boxes"][0]["wieght"] = 1; }},
+                  {"max_attempts", [](json& d) { d["max_attempts"] = 1.5; }}},
+                 [](const json& d) { config::check_schema(d, config::appliance_schema()); });
 }
 
-TEST_CASE("The file that ships is a good one") {
+TEST_CASE("The shipped appliance file is valid") {
   CHECK_NOTHROW(config::read_appliance(std::string(EIDERARCH_ROOT) + "/deploy/appliance.json"));
 }
 
-TEST_CASE("A list of more entries than any fleet, or with one instance twice, is not taken") {
+TEST_CASE("A discovery list that is too long or names an instance twice is rejected") {
   const std::vector<std::string> zones{"quito-norte"}, kinds{"lectura", "escritura", "mixto"};
-  const auto list_of = [](int count, int twice) {
+  const auto list_of = [](int count, int duplicate) {
     json servers = json::array();
     for (int i = 0; i < count; ++i) {
-      const int number = i == twice ? 0 : i;
+      const int number = i == duplicate ? 0 : i;
       servers.push_back({{"id", "s-" + std::to_string(number)},
                          {"addr", "127.0.0.1:" + std::to_string(1000 + number)},
                          {"zone", "quito-norte"},
--- a/tests/deployment_names_test.cpp
+++ b/tests/deployment_names_test.cpp
@@ -1,4 +1,5 @@
-// Behaviour follows the settings: no deployment's own names stand in the sources.
+// Behaviour depends on the settings alone, so the sources must not contain names of any particular
+// deployment.
 #include <algorithm>
 #include <catch2/catch.hpp>
 #include <cctype>
@@ -8,24 +9,25 @@
 
 namespace fs = std::filesystem;
 
-TEST_CASE("No operator's, site's, class's or tenant's name stands in the sources") {
-  const std::vector<std::string> names{"quito",          "guayaquil",     "nwffa",          "combustibles",
-                                       "flag-questions", "config-review", "rollout-change", "cedarline",
-                                       "tidewater",      "ridgeback",     "salmonberry",    "river-hall"};
-  int files = 0;
+TEST_CASE("The sources contain no name of an operator, site, class or tenant") {
+  const std::vector<std::string> deployment_names{
+      "quito",          "guayaquil", "nwffa",     "combustibles", "flag-questions", "config-review",
+      "rollout-change", "cedarline", "tidewater", "ridgeback",    "salmonberry",    "river-hall"};
+  int checked_files = 0;
   for (const char* folder : {"src", "include", "simhost"}) {
     for (const auto& entry : fs::recursive_directory_iterator(fs::path(EIDERARCH_ROOT) / folder)) {
       if (!entry.is_regular_file()) continue;
-      ++files;
-      std::stringstream text;
-      text << std::ifstream(entry.path()).rdbuf();
-      std::string lower = text.str();
-      std::ranges::transform(lower, lower.begin(), [](unsigned char c) { return char(std::tolower(c)); });
-      for (const std::string& name : names) {
-        INFO(entry.path().string() << " names " << name);
-        CHECK(lower.find(name) == std::string::npos);
+      ++checked_files;
+      std::stringstream contents;
+      contents << std::ifstream(entry.path()).rdbuf();
+      std::string lowercase_text = contents.str();
+      std::ranges::transform(lowercase_text, lowercase_text.begin(),
+                             [](unsigned char c) { return char(std::tolower(c)); });
+      for (const std::string& name : deployment_names) {
+        INFO(entry.path().string() << " contains " << name);
+        CHECK(lowercase_text.find(name) == std::string::npos);
       }
     }
   }
-  CHECK(files > 50);
+  CHECK(checked_files > 50);
 }
--- a/tests/operations_test.cpp
+++ b/tests/operations_test.cpp
@@ -1,4 +1,5 @@
-// Which instances are out, as a file says it, and as the fleet and the module are told.
+// Maintenance of instances: the file format, the shared file, and the instance states passed to the decision
+// module.
 #include <rapidcheck.h>
 #include <unistd.h>
 
@@ -24,9 +25,9 @@
   return row;
 }
 
-struct Folder {
-  Folder() { REQUIRE(mkdtemp(path) != nullptr); }
-  ~Folder() {
+struct TemporaryDirectory {
+  TemporaryDirectory() { REQUIRE(mkdtemp(path) != nullptr); }
+  ~TemporaryDirectory() {
     for (const char* name : {"/f", "/f.lock", "/f.new"}) std::remove((std::string(path) + name).c_str());
     rmdir(path);
   }
@@ -35,44 +36,46 @@
 
 }  // namespace
 
-TEST_CASE("What is out reads back as it was written, and nothing spoilt is taken for it") {
+TEST_CASE("The maintenance set is read back as written and a damaged file is rejected") {
   CHECK(rc::check("encode, decode", [] {
     const auto id =
         rc::gen::nonEmpty(rc::gen::container<std::string>(rc::gen::elementOf(std::string("aZ09-_.:"))));
     const auto ids = *rc::gen::container<operations::Ids>(id);
-    for (const std::string& one : ids) RC_PRE(operations::plain_id(one));
+    for (const std::string& each : ids) RC_PRE(operations::plain_id(each));
     const std::string text = operations::encode(ids);
     RC_ASSERT(operations::decode(text) == ids);
-    const auto cut = *rc::gen::inRange<std::size_t>(0, text.size());
-    RC_ASSERT(!operations::decode(text.substr(0, cut)));
+    const auto length = *rc::gen::inRange<std::size_t>(0, text.size());
+    RC_ASSERT(!operations::decode(text.substr(0, length)));
   }));
-  for (const char* bad : {"", "{}\n", "bankmux maintenance 1\n{}\n", "bankmux maintenance 1\n[1]\n",
-                          "bankmux maintenance 1\n[\"a b\"]\n", "bankmux maintenance 2\n[]\n"}) {
-    CHECK_FALSE(operations::decode(bad));
+  for (const char* invalid : {"", "{}\n", "bankmux maintenance 1\n{}\n", "bankmux maintenance 1\n[1]\n",
+                              "bankmux maintenance 1\n[\"a b\"]\n", "bankmux maintenance 2\n[]\n"}) {
+    CHECK_FALSE(operations::decode(invalid));
   }
 }
 
-TEST_CASE("A change of the shared file is whole, seen once by each reader, and refused under a held lock") {
-  Folder folder;
-  const std::string path = std::string(folder.path) + "/f";
-  app::SharedFile one(path), other(path);
-  CHECK(one.read() == "");
-  CHECK_FALSE(other.changed());
-  REQUIRE(one.update([](const std::string& before) { return before + "a"; }));
-  REQUIRE(other.update([](const std::string& before) { return before + "b"; }));
-  CHECK(one.read() == "ab");
-  CHECK(one.changed());
-  CHECK_FALSE(one.changed());
-  CHECK_FALSE(one.update([](const std::string&) { return std::nullopt; }));
-  CHECK(one.read() == "ab");
-  CHECK(one.update([&](const std::string& before) {
-    CHECK_FALSE(other.update([](const std::string&) { return std::string("lost"); }));  // held by one
+TEST_CASE(
+    "A shared file is replaced atomically, reports each change once and refuses updates under a held lock") {
+  TemporaryDirectory directory;
+  const std::string path = std::string(directory.path) + "/f";
+  app::SharedFile first(path), second(path);
+  CHECK(first.read() == "");
+  CHECK_FALSE(second.changed());
+  REQUIRE(first.update([](const std::string& before) { return before + "a"; }));
+  REQUIRE(second.update([](const std::string& before) { return before + "b"; }));
+  CHECK(first.read() == "ab");
+  CHECK(first.changed());
+  CHECK_FALSE(first.changed());
+  CHECK_FALSE(first.update([](const std::string&) { return std::nullopt; }));
+  CHECK(first.read() == "ab");
+  CHECK(first.update([&](const std::string& before) {
+    CHECK_FALSE(
+        second.update([](const std::string&) { return std::string("lost"); }));  // `first` holds the lock
     return before;
   }));
-  CHECK(one.read() == "ab");
+  CHECK(first.read() == "ab");
 }
 
-TEST_CASE("An instance that is out drains whatever the list says, and comes back as just started") {
+TEST_CASE("An instance in maintenance drains regardless of the list and returns as newly started") {
   core::Fleet fleet;
   const auto live = eiderarch::EngineState::live;
   const auto draining = eiderarch::EngineState::draining;
@@ -81,16 +84,16 @@
   CHECK(fleet.told(1).state == draining);
   fleet.update(3s, {eiderarch::ListScope::complete, {listed("a", 1), listed("b", 2)}});
   CHECK(fleet.told(1).state == draining);
-  CHECK(fleet.set_out(4s, {"a"}).empty());  // out twice
+  CHECK(fleet.set_out(4s, {"a"}).empty());  // already out
   CHECK(fleet.set_out(9s, {}) == std::vector<core::EngineId>{1});
   CHECK(fleet.told(1).state == live);
   CHECK(fleet.told(1).started == 9s);
   CHECK(fleet.told(2).started == 0s);
   fleet.update(10s, {eiderarch::ListScope::changes, {listed("a", 1)}});
-  CHECK(fleet.told(1).started == 9s);  // the list still knows nothing of its restart
+  CHECK(fleet.told(1).started == 9s);  // the list's own start time does not replace it
 }
 
-TEST_CASE("An id that is out before the list names it is out from its first entry on") {
+TEST_CASE("An instance put into maintenance before it is listed drains from its first entry on") {
   core::Fleet fleet;
   CHECK(fleet.set_out(1s, {"a"}).empty());
   CHECK(fleet.knows("a"));
--- a/tests/stories/appliance_stories.cpp
+++ b/tests/stories/appliance_stories.cpp
@@ -1,4 +1,5 @@
-// The appliance: the OpenAI-style front, its boxes, balancer checks and console. No bench.
+// Process-level tests of the appliance: the OpenAI-style front, its instances, load balancer checks and
+// console.
 #include <catch2/catch.hpp>
 #include <csignal>
 
@@ -8,7 +9,7 @@
 using namespace stories;
 using nlohmann::json;
 
-TEST_CASE("Chat: a streamed and a whole answer, each passed on as the box gave it") {
+TEST_CASE("Chat: streamed and complete answers are forwarded unchanged") {
   Record seen;
   Peer one(box(seen, [](Wire& wire, const Message& m) {
     if (json::parse(m.body)["stream"] == true) {
@@ -29,7 +30,7 @@
   CHECK(seen.count(kChat) == 2);
 }
 
-TEST_CASE("Chat: models are listed, and what is wrong with a request gets 400 naming the field") {
+TEST_CASE("Chat: models are listed and an invalid request gets a 400 or 404 that names the field") {
   Record seen;
   Peer one(box(seen, [](Wire&, const Message&) { return false; }));
   Appliance appliance({one.address()});
@@ -37,7 +38,7 @@
   CHECK(body_of(appliance.get("/v1/models/m-ajuste"))["object"] == "model");
   CHECK(appliance.get("/v1/models/other").starts_with("HTTP/1.1 404"));
   CHECK(appliance.get("/v1/chat/completions").starts_with("HTTP/1.1 405"));
-  const std::pair<const char*, json> bad[] = {
+  const std::pair<const char*, json> invalid[] = {
       {R"({"model": )", nullptr},
       {R"([1, 2])", nullptr},
       {R"({"messages": [{"role": "user", "content": "x"}]})", "model"},
@@ -50,7 +51,7 @@
       {R"({"model": "m-ajuste", "max_tokens": -1, "messages": [{"role": "user", "content": "x"}]})",
        "max_tokens"},
   };
-  for (const auto& [body, param] : bad) {
+  for (const auto& [body, param] : invalid) {
     const std::string answer = appliance.chat(body);
     CHECK(answer.starts_with(has(body, "other") ? "HTTP/1.1 404" : "HTTP/1.1 400"));
     const json error = body_of(answer)["error"];
@@ -60,7 +61,8 @@
   CHECK(seen.all().empty());
 }
 
-TEST_CASE("Chat: a client that drops within the stream of an ajuste ends it, and nothing is tried again") {
+TEST_CASE(
+    "Chat: a client disconnect during a stream ends the attempt and a request with effect is not retried") {
   Record seen;
   const auto chat = [&](Wire& wire, const Message&) {
     wire.send(stream_head() + chunk("data: {\"x\":1}\n\n"));
@@ -78,7 +80,7 @@
   CHECK(seen.all() == std::vector<std::string>{kChat, "stream ended"});
 }
 
-TEST_CASE("Chat: an error event after partial output reaches the client, which gets no other answer") {
+TEST_CASE("Chat: an error event after partial output is forwarded and no other answer follows") {
   Record seen;
   const std::string error = R"({"error":{"message":"out of memory","type":"server_error"}})";
   const auto chat = [&](Wire& wire, const Message&) {
@@ -91,12 +93,12 @@
   CHECK(has(answer, "data: {\"x\":1}\n\n"));
   CHECK(has(answer, "data: " + error + "\n\n"));
   CHECK(answers_in(answer) == 1);
-  CHECK_FALSE(has(answer, "\r\n0\r\n"));  // a stream that is not whole has no last chunk
+  CHECK_FALSE(has(answer, "\r\n0\r\n"));  // an incomplete stream has no final chunk
   CHECK(seen.count(kChat) == 1);
   CHECK(body_of(appliance.page("GET", "/-/status"))["requests"]["broken"] == 1);
 }
 
-TEST_CASE("Chat: a stream that breaks off silently gets an error event of the conductor's own") {
+TEST_CASE("Chat: a stream that ends early gets an error event from the conductor") {
   Record seen;
   Peer one(box(seen, [](Wire& wire, const Message&) {
     wire.send(stream_head() + chunk("data: {\"x\":1}\n\n"));
@@ -110,22 +112,22 @@
   CHECK(seen.count(kChat) == 1);
 }
 
-TEST_CASE("Chat: exactly one final answer, whatever the boxes say") {
+TEST_CASE("Chat: the client gets exactly one final answer for each kind of instance error") {
   struct Case {
     const char* status;
     const char* headers;
     const char* model;
     int answer;
-    int least_tries, most_tries;
-    bool again;  // whether the client may try again
+    int min_attempts, max_attempts;
+    bool may_retry;  // whether the client may retry
   };
   const Case cases[] = {
       {"400 Bad Request", "", "m-ajuste", 400, 1, 1,
-       false},  // the request is at fault: the box's word counts
-      {"500 Internal Server Error", "", "m-ajuste", 502, 1, 1, false},  // may have run: never again
+       false},  // invalid request: the instance's answer is final
+      {"500 Internal Server Error", "", "m-ajuste", 502, 1, 1, false},  // may have run: not retried
       {"500 Internal Server Error", "", "m-consulta", 502, 2, 3, true},
-      {"503 Service Unavailable", "", "m-ajuste", 502, 1, 1, false},  // proves nothing
-      {"429 Too Many Requests", "", "m-ajuste", 503, 1, 3, true},     // never ran
+      {"503 Service Unavailable", "", "m-ajuste", 502, 1, 1, false},  // does not prove that it was not run
+      {"429 Too Many Requests", "", "m-ajuste", 503, 1, 3, true},     // proves that it was not run
       {"503 Service Unavailable", "X-Turned-Away: 1\r\n", "m-ajuste", 503, 1, 3, true},
   };
   for (const Case& c : cases) {
@@ -142,16 +144,16 @@
       CHECK(answer.starts_with("HTTP/1.1 " + std::to_string(c.answer)));
       CHECK(answers_in(answer) == 1);
       CHECK(body_of(answer).contains("error"));
-      CHECK(has(answer, "Retry-After: ") == c.again);
-      CHECK(has(answer, std::string("x-should-retry: ") + (c.again ? "true" : "false")));
+      CHECK(has(answer, "Retry-After: ") == c.may_retry);
+      CHECK(has(answer, std::string("x-should-retry: ") + (c.may_retry ? "true" : "false")));
       CHECK(has(answer, "nothing was run") == (c.answer == 503));
-      CHECK(seen.count(kChat) >= c.least_tries);
-      CHECK(seen.count(kChat) <= c.most_tries);
+      CHECK(seen.count(kChat) >= c.min_attempts);
+      CHECK(seen.count(kChat) <= c.max_attempts);
     }
   }
 }
 
-TEST_CASE("Chat: a whole answer that breaks off is tried again where its class permits") {
+TEST_CASE("Chat: an unstreamed answer that ends early is retried if the class permits") {
   Record seen;
   const auto chat = [&](Wire& wire, const Message&) {
     if (seen.count(kChat) == 1) {
@@ -167,12 +169,12 @@
   CHECK(seen.count(kChat) == 2);
 }
 
-TEST_CASE("Checks: agent-check and health follow boxes, drains and the end, and the console shows them") {
+TEST_CASE("Checks: agent-check, health and console reflect instance state, drains and shutdown") {
   Record seen;
   Peer one(box(seen, [](Wire&, const Message&) { return false; }));
   auto two = std::make_unique<Peer>(box(seen, [](Wire&, const Message&) { return false; }));
   Appliance appliance({one.address(), two->address()});
-  CHECK(appliance.agent_says("up 100%\n"));
+  CHECK(appliance.agent_reports("up 100%\n"));
   CHECK(appliance.get("/-/healthy").starts_with("HTTP/1.1 200"));
 
   CHECK(appliance.page("POST", "/-/boxes/b1/drain").starts_with("HTTP/1.1 204"));
@@ -184,8 +186,8 @@
   CHECK(has(console.output(), "b1"));
   CHECK(has(console.output(), "drain"));
 
-  two.reset();  // its process is gone
-  CHECK(appliance.agent_says("down\n"));
+  two.reset();  // the instance stops
+  CHECK(appliance.agent_reports("down\n"));
   CHECK(appliance.get("/-/healthy").starts_with("HTTP/1.1 503"));
   CHECK(appliance.page("POST", "/-/boxes/b1/resume").starts_with("HTTP/1.1 204"));
   CHECK(appliance.agent() == "up 50%\n");
@@ -193,13 +195,13 @@
   CHECK(appliance.agent() == "drain\n");
   CHECK(appliance.page("POST", "/-/resume").starts_with("HTTP/1.1 204"));
   appliance.program().terminate();
-  CHECK(appliance.agent_says("drain\n"));
+  CHECK(appliance.agent_reports("drain\n"));
   CHECK(appliance.program().wait() == 0);
 }
 
-TEST_CASE("A drained box gets nothing new, the others do") {
+TEST_CASE("A drained instance gets no new requests and the others do") {
   Record seen;
-  const auto noting = [&seen](const std::string& name) {
+  const auto recording_script = [&seen](const std::string& name) {
     return [&seen, name](Wire& wire, const Message&) {
       seen.add(name);
       wire.send(events({"[DONE]"}));
@@ -207,7 +209,7 @@
     };
   };
   Record requests;
-  Peer one(box(requests, noting("one"))), two(box(requests, noting("two")));
+  Peer one(box(requests, recording_script("one"))), two(box(requests, recording_script("two")));
   Appliance appliance({one.address(), two.address()});
   CHECK(appliance.page("POST", "/-/boxes/b1/drain").starts_with("HTTP/1.1 204"));
   for (int i = 0; i < 4; ++i) {
@@ -216,44 +218,43 @@
   CHECK(seen.all() == std::vector<std::string>(4, "two"));
 }
 
-TEST_CASE(
-    "SIGHUP: the appliance takes over boxes and models, keeps drains, and keeps all if the file is faulty") {
-  Record first, second;
+TEST_CASE("SIGHUP: the appliance reloads instances and models, keeps drains and ignores an invalid file") {
+  Record first_seen, second_seen;
   const auto answer = [](Wire& wire, const Message&) {
     wire.send(events({"{}", "[DONE]"}));
     return true;
   };
-  Peer one(box(first, answer)), two(box(second, answer));
+  Peer one(box(first_seen, answer)), two(box(second_seen, answer));
   Appliance appliance({one.address()});
   CHECK(appliance.page("POST", "/-/boxes/b1/drain").starts_with("HTTP/1.1 204"));
-  json fresh = appliance.file();
-  fresh["boxes"].push_back({{"id", "b2"}, {"address", two.address()}});
-  fresh["models"].push_back({{"name", "m-new"}, {"class", "consulta"}});
-  appliance.reload(fresh);
+  json new_file = appliance.file();
+  new_file["boxes"].push_back({{"id", "b2"}, {"address", two.address()}});
+  new_file["models"].push_back({{"name", "m-new"}, {"class", "consulta"}});
+  appliance.reload(new_file);
   for (int i = 0; i < 250 && !has(appliance.get("/v1/models"), "m-new"); ++i) {
     std::this_thread::sleep_for(std::chrono::milliseconds(20));
   }
   CHECK(has(appliance.chat(Appliance::body("m-new", true)), "[DONE]"));
-  CHECK(first.count(kChat) == 0);
-  CHECK(second.count(kChat) == 1);
-  fresh["boxes"] = json::array();
-  appliance.reload(fresh);
+  CHECK(first_seen.count(kChat) == 0);
+  CHECK(second_seen.count(kChat) == 1);
+  new_file["boxes"] = json::array();
+  appliance.reload(new_file);
   CHECK(has(appliance.chat(Appliance::body("m-new", true)), "[DONE]"));
 }
 
-TEST_CASE("The console's picture marks the chosen box and fits the terminal") {
+TEST_CASE("The console marks the selected instance and fits the terminal width") {
   const json status = json::parse(R"({"name":"caja","standing":"up 75%","uptime_s":61.5,
     "requests":{"open":3,"most":10,"taken":9,"served":5,"refused":1,"failed":0,"broken":0,"client_gone":0,
     "continued":2,"saved":1,"end_added":0,"suspected":1,
     "attempts":7},"boxes":[{"id":"b1","address":"127.0.0.1:9001","state":"up","weight":1.0,"out":2},
     {"id":"b2","address":"127.0.0.1:9002","state":"drain","weight":0.5,"out":1}]})");
-  const std::string picture = bankmux::app::draw(status, 100, 1);
-  CHECK(has(picture, "open 3 of 10 [######"));
-  CHECK(has(picture, "> b2"));
-  CHECK_FALSE(has(picture, "> b1"));
-  for (std::size_t begin = 0, end = 0; (end = picture.find('\n', begin)) != std::string::npos;
+  const std::string rendered = bankmux::app::render_status(status, 100, 1);
+  CHECK(has(rendered, "open 3 of 10 [######"));
+  CHECK(has(rendered, "> b2"));
+  CHECK_FALSE(has(rendered, "> b1"));
+  for (std::size_t begin = 0, end = 0; (end = rendered.find('\n', begin)) != std::string::npos;
        begin = end + 1) {
     CHECK(end - begin <= 100);
   }
-  CHECK(has(bankmux::app::draw(status, 12, 1), "caja   up 75\n"));
+  CHECK(has(bankmux::app::render_status(status, 12, 1), "caja   up 75\n"));
 }
--- a/tests/stories/appliance_world.hpp
+++ b/tests/stories/appliance_world.hpp
@@ -1,4 +1,4 @@
-// The program as an appliance with scripted boxes, for the stories of the chat front.
+// Runs the program as an appliance in front of scripted instances, for process-level tests of the chat front.
 #pragma once
 
 #include <csignal>
@@ -20,13 +20,16 @@
   return nlohmann::json::parse(answer.substr(answer.find("\r\n\r\n") + 4));
 }
 
+// Number of HTTP/1.1 status lines in `text`.
 inline int answers_in(const std::string& text) {
   int count = 0;
   for (std::size_t at = 0; (at = text.find("HTTP/1.1 ", at)) != std::string::npos; ++at) ++count;
   return count;
 }
 
-// A stand-in for a box, written from the public description of the API.
+// Script of a fake model-server instance, based on the public description of the API. Answers health checks,
+// records the first line of every other request and passes the request to `chat`, which returns whether to
+// keep the connection.
 inline Peer::Script box(Record& seen, const std::function<bool(Wire&, const Message&)>& chat) {
   return [&seen, chat](Wire& wire) {
     while (const auto request = wire.receive()) {
@@ -40,11 +43,13 @@
   };
 }
 
+// First line of a chat completion request.
 inline const std::string kChat = "POST /v1/chat/completions HTTP/1.1";
 
+// A running appliance process with its configuration file and its three listening addresses.
 class Appliance {
  public:
-  // `changes`: a merge patch on the file below.
+  // `changes`: JSON merge patch applied to the default file below.
   explicit Appliance(const std::vector<std::string>& boxes,
                      const nlohmann::json& changes = nlohmann::json::object()) {
     nlohmann::json file = {
@@ -86,7 +91,9 @@
                           {"messages", {{{"role", "user"}, {"content", "Why was my card refused?"}}}}}
         .dump();
   }
+  // Sends a chat completion request and returns the whole answer.
   [[nodiscard]] std::string chat(const std::string& body) const { return say(chat_, request(body)); }
+  // Sends `text` and returns everything received until the connection closes.
   [[nodiscard]] static std::string say(const std::string& address, const std::string& text) {
     const auto wire = Wire::to(address);
     wire->send(text);
@@ -95,11 +102,13 @@
   [[nodiscard]] std::string get(const std::string& path) const {
     return say(chat_, "GET " + path + " HTTP/1.1\r\nConnection: close\r\n\r\n");
   }
+  // Sends a request to the operator page.
   [[nodiscard]] std::string page(const std::string& method, const std::string& path) const {
     return say(page_, method + " " + path + " HTTP/1.1\r\nContent-Length: 0\r\nConnection: close\r\n\r\n");
   }
   [[nodiscard]] std::string agent() const { return Wire::to(agent_)->receive_all(); }
-  [[nodiscard]] bool agent_says(const std::string& line) const {
+  // Whether the agent-check reports `line` within 5 s.
+  [[nodiscard]] bool agent_reports(const std::string& line) const {
     for (int i = 0; i < 250; ++i) {
       if (agent() == line) return true;
       std::this_thread::sleep_for(std::chrono::milliseconds(20));
