--- a/src/app/cpu_watch.cpp
+++ b/src/app/cpu_watch.cpp
@@ -15,8 +15,9 @@
 
 constexpr core::Duration kSampleInterval = 1s;
 constexpr double kWarnFraction = 0.8;  // of the budget, above which a warning is logged
-constexpr double kRelogFactor = 1.1;  // over the highest value logged so far, so that a busy hour logs one or
-                                      // two lines instead of thousands
+// A new warning needs a value this much above the highest logged one, so that a busy hour logs one or two
+// lines instead of thousands.
+constexpr double kRelogFactor = 1.1;
 
 core::Duration process_cpu_time() {
   rusage usage{};
--- a/src/app/fleet_work.cpp
+++ b/src/app/fleet_work.cpp
@@ -42,11 +42,11 @@
       store_(settings.file, [this](std::function<void()> run) { mailbox_.post(std::move(run)); }),
       probe_reports_(kReportValidRounds * check_every),
       runner_(loop, store_, ownership_settings(settings), coordination::boot_time,
-              [](const std::string& words) { log::write("duty", words); }) {
+              [](const std::string& message) { log::write("duty", message); }) {
   const std::string prober(duties::kProber);
   monitor_.share_probing(
       {[this, prober] { return probe_reports_.asks(loop_.now(), runner_.grant(prober).has_value()); },
-       [this](const std::string& instance) { return probe_reports_.running(loop_.now(), instance); },
+       [this](const std::string& instance) { return probe_reports_.runs(loop_.now(), instance); },
        [this](const std::map<std::string, bool>& running) { publish_report(running); }});
   page.share_operations({[this](const std::string& id, bool drained, std::function<void(bool)> done) {
                            const std::string key = std::string(duties::kOutPrefix) + id;
--- a/src/config/appliance.cpp
+++ b/src/config/appliance.cpp
@@ -16,14 +16,15 @@
 namespace {
 
 constexpr std::size_t kMaxInstances = 64;
-constexpr double kOverShareWorth = 0.25;  // requests beyond a tenant's quota queue behind all others
+// Factor on the worth of a tenant's requests beyond its quota, so that they queue behind the others.
+constexpr double kOverShareWorth = 0.25;
 constexpr core::Duration kMinLease = 1s, kMaxLease = 300s;
 constexpr double kMib = 1024.0 * 1024.0;
 
 eiderarch::RequestClass read_class(const Fields& f) {
   eiderarch::RequestClass c;
   const std::string repeat = f.text("repeat");
-  if (repeat != "safe" && repeat != "never") f.bad("repeat", "must be 'safe' or 'never'");
+  if (repeat != "safe" && repeat != "never") f.fail("repeat", "must be 'safe' or 'never'");
   c.effect = repeat == "safe" ? eiderarch::Effect::safe : eiderarch::Effect::unsafe;
   c.aim = f.seconds("first_token_s", 2s);
   c.aim_per_kilotoken = f.seconds("first_token_s_per_1000", 40ms);
@@ -38,7 +39,7 @@
 std::uint32_t class_index(const Fields& f, const std::string& key, const std::vector<std::string>& names) {
   const std::string name = f.text(key);
   const auto it = std::ranges::find(names, name);
-  if (it == names.end()) f.bad(key, "names an unknown class: '" + name + "'");
+  if (it == names.end()) f.fail(key, "names an unknown class: '" + name + "'");
   return std::uint32_t(it - names.begin());
 }
 
@@ -113,13 +114,13 @@
   Coordination c;
   const std::string folder = f.text("folder");
   std::error_code error;
-  if (!std::filesystem::is_directory(folder, error)) f.bad("folder", "is not a directory: '" + folder + "'");
+  if (!std::filesystem::is_directory(folder, error)) f.fail("folder", "is not a directory: '" + folder + "'");
   c.file = folder + "/bankmux-fleet.db";
   c.member = f.text("member", name);
   // The name is part of the store's keys.
-  if (!is_plain_name(c.member)) f.bad("member", "may contain only letters, digits, '-', '_' and '.'");
+  if (!is_plain_name(c.member)) f.fail("member", "may contain only letters, digits, '-', '_' and '.'");
   c.lease = f.seconds("lease_s", c.lease);
-  if (c.lease < kMinLease || c.lease > kMaxLease) f.bad("lease_s", "must be between 1 and 300");
+  if (c.lease < kMinLease || c.lease > kMaxLease) f.fail("lease_s", "must be between 1 and 300");
   f.reject_unknown_keys();
   return c;
 }
@@ -142,20 +143,20 @@
   a.most_body = std::size_t(max_body_mib * kMib);
   // All request bodies together may use a fifth of the memory; a single one must fit.
   if (a.most_body > std::size_t(double(a.memory_mb) * kMib) / 5) {
-    f.bad("max_body_mib", "must not exceed a fifth of 'memory_mb'");
+    f.fail("max_body_mib", "must not exceed a fifth of 'memory_mb'");
   }
   a.seam = f.seconds("seam_s", a.seam);
   if (f.has("stream_keep_alive_s")) a.stream_keep_alive = f.seconds("stream_keep_alive_s", 15s);
   a.keys_file = f.text("keys", "");
   if (f.has("keys") && a.keys_file.empty())
-    f.bad("keys", "is empty; omit it to allow requests without an API key");
+    f.fail("keys", "is empty; omit it to allow requests without an API key");
   const Fields ledger = f.section("ledger");
   a.ledger.entries = ledger.count("entries", a.ledger.entries, 0, 10'000'000);
   a.ledger.age = ledger.seconds("age_s", a.ledger.age);
   const double answer_mib = ledger.number("answer_mib", std::min(8.0, double(a.memory_mb) / 8), 0.0, 1024.0);
   // Request bodies already have a fifth of the memory.
   if (answer_mib > double(a.memory_mb) / 8)
-    ledger.bad("answer_mib", "must not exceed an eighth of 'memory_mb'");
+    ledger.fail("answer_mib", "must not exceed an eighth of 'memory_mb'");
   a.ledger.answer_bytes = std::size_t(answer_mib * kMib);
   a.ledger.one_answer = std::min(a.ledger.one_answer, a.ledger.answer_bytes);
   ledger.reject_unknown_keys();
@@ -165,7 +166,7 @@
   a.module.seed = f.count("seed", 1, 0, 1'000'000'000);
   for (const Fields& row : f.objects("classes")) {
     const std::string name = row.text("name");
-    if (std::ranges::count(a.classes, name) > 0) row.bad("name", "is not unique: '" + name + "'");
+    if (std::ranges::count(a.classes, name) > 0) row.fail("name", "is not unique: '" + name + "'");
     a.classes.push_back(name);
     a.module.classes.push_back(read_class(row));
   }
@@ -173,7 +174,7 @@
     Model model{row.text("name"), class_index(row, "class", a.classes), false, {}};
     const std::string responses = row.text("responses", "translate");
     if (responses != "translate" && responses != "native") {
-      row.bad("responses", "must be 'translate' or 'native'");
+      row.fail("responses", "must be 'translate' or 'native'");
     }
     model.native_responses = responses == "native";
     const std::string continuation = row.text("continuation", "none");
@@ -182,10 +183,10 @@
     } else if (continuation == "prompt") {
       model.continuation = recovery::Way::prompt;
     } else if (continuation != "none") {
-      row.bad("continuation", "must be 'none', 'final_message' or 'prompt'");
+      row.fail("continuation", "must be 'none', 'final_message' or 'prompt'");
     }
     if (std::ranges::count(a.models, model.name, &Model::name) > 0) {
-      row.bad("name", "is not unique: '" + model.name + "'");
+      row.fail("name", "is not unique: '" + model.name + "'");
     }
     row.reject_unknown_keys();
     a.models.push_back(std::move(model));
@@ -197,14 +198,14 @@
   for (const Fields& row : f.objects("boxes")) {
     Instance instance{row.text("id"), row.address("address"), row.number("weight", 1.0, 0.01, 1000.0)};
     if (std::ranges::count(a.boxes, instance.id, &Instance::id) > 0)
-      row.bad("id", "is not unique: '" + instance.id + "'");
+      row.fail("id", "is not unique: '" + instance.id + "'");
     // The id is part of paths of the operator page.
-    if (!is_plain_name(instance.id)) row.bad("id", "may contain only letters, digits, '-', '_' and '.'");
+    if (!is_plain_name(instance.id)) row.fail("id", "may contain only letters, digits, '-', '_' and '.'");
     row.reject_unknown_keys();
     a.boxes.push_back(std::move(instance));
   }
   if (a.boxes.size() > kMaxInstances)
-    f.bad("boxes", "has more than " + std::to_string(kMaxInstances) + " entries");
+    f.fail("boxes", "has more than " + std::to_string(kMaxInstances) + " entries");
   (void)f.has("$schema");  // editors use it to find the schema
   f.reject_unknown_keys();
   json rest = document;
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -42,7 +42,7 @@
                                    const char* variable, bool needed = true) {
   std::string value = text_or_environment(f, key, environment, variable, needed);
   if ((needed || !value.empty()) && !Address::parse(value))
-    f.bad(key, "is not an IPv4 address and port: '" + value + "'");
+    f.fail(key, "is not an IPv4 address and port: '" + value + "'");
   return value;
 }
 
@@ -51,11 +51,11 @@
   const auto it = document.find("seed");
   if (it == document.end()) return 1;
   if (it->is_number_unsigned()) return it->get<std::uint64_t>();
-  if (!it->is_string()) f.bad("seed", "must be a string or an unsigned number");
+  if (!it->is_string()) f.fail("seed", "must be a string or an unsigned number");
   const std::string value = it->get<std::string>();
   if (value.empty() || value.size() > 16 ||
       value.find_first_not_of("0123456789abcdefABCDEF") != std::string::npos) {
-    f.bad("seed", "is not a hexadecimal number of up to 16 digits");
+    f.fail("seed", "is not a hexadecimal number of up to 16 digits");
   }
   return std::stoull(value, nullptr, 16);
 }
@@ -101,7 +101,7 @@
   const Fields limits = f.section("limits");
   c.sockets = limits.count("sockets", 1024, 32, 1'000'000);
   c.memory_mb = limits.count("memory_mb", 192, 16, 1'000'000);
-  if (!f.has("settings")) f.bad("settings", "is missing");
+  if (!f.has("settings")) f.fail("settings", "is missing");
   c.unknown = check_settings(document.at("settings"));
   const Fields settings = f.section("settings");
   for (const Fields& row : settings.objects("categories")) c.classes.push_back(row.text("name"));
@@ -122,7 +122,7 @@
     throw BadConfig(std::string("settings: ") + problem.what());
   }
   if (c.module.kinds.size() != c.kinds.size())
-    settings.bad("familyInfo.dutyByKind", "must have as many entries as 'skus'");
+    settings.fail("familyInfo.dutyByKind", "must have as many entries as 'skus'");
   c.startup_settings_hash =
       std::hash<std::string>{}(c.name + ' ' + c.listen + ' ' + document.value("limits", json()).dump() +
                                document.at("settings").dump());
--- a/src/config/config.hpp
+++ b/src/config/config.hpp
@@ -29,8 +29,8 @@
   std::vector<std::string> kinds;
   core::Duration connect_timeout{250'000};
   core::Duration idle_timeout{15'000'000};
-  core::Duration cpu_budget_per_second{
-      0};                            // CPU time that this process may use per second; 0: not configured
+  // CPU time that this process may use per second; 0: not configured.
+  core::Duration cpu_budget_per_second{0};
   std::vector<std::string> unknown;  // keys of the settings that are unknown and ignored
   bool stream_reports = false;       // answers carry load reports
   core::FleetNews known;
--- a/src/config/fields.cpp
+++ b/src/config/fields.cpp
@@ -26,7 +26,7 @@
 
 std::string Fields::name(const std::string& key) const { return path_.empty() ? key : path_ + "." + key; }
 
-void Fields::bad(const std::string& key, const std::string& what) const {
+void Fields::fail(const std::string& key, const std::string& what) const {
   throw BadConfig("'" + name(key) + "' " + what);
 }
 
@@ -40,8 +40,8 @@
 
 std::string Fields::text(const std::string& key) const {
   const json* value = find(key);
-  if (value == nullptr) bad(key, "is missing");
-  if (!value->is_string() || value->get_ref<const std::string&>().empty()) bad(key, "is not text");
+  if (value == nullptr) fail(key, "is missing");
+  if (!value->is_string() || value->get_ref<const std::string&>().empty()) fail(key, "is not text");
   return value->get<std::string>();
 }
 
@@ -51,19 +51,19 @@
 
 std::string Fields::address(const std::string& key) const {
   std::string value = text(key);
-  if (!Address::parse(value)) bad(key, "is not an IPv4 address and port: '" + value + "'");
+  if (!Address::parse(value)) fail(key, "is not an IPv4 address and port: '" + value + "'");
   return value;
 }
 
 double Fields::number(const std::string& key, double fallback, double min, double max) const {
   const json* value = find(key);
   if (value == nullptr) return fallback;
-  if (!value->is_number()) bad(key, "is not a number");
+  if (!value->is_number()) fail(key, "is not a number");
   const double result = value->get<double>();
   if (!(result >= min && result <= max)) {
     std::ostringstream range;
     range << "must be between " << min << " and " << max;
-    bad(key, range.str());
+    fail(key, range.str());
   }
   return result;
 }
@@ -71,7 +71,7 @@
 std::size_t Fields::count(const std::string& key, std::size_t fallback, std::size_t min,
                           std::size_t max) const {
   const double value = number(key, double(fallback), double(min), double(max));
-  if (value != std::floor(value)) bad(key, "is not a whole number");
+  if (value != std::floor(value)) fail(key, "is not a whole number");
   return std::size_t(value);
 }
 
@@ -88,8 +88,8 @@
 
 const json& Fields::list(const std::string& key) const {
   const json* value = find(key);
-  if (value == nullptr) bad(key, "is missing");
-  if (!value->is_array() || value->empty()) bad(key, "must be a list with at least one entry");
+  if (value == nullptr) fail(key, "is missing");
+  if (!value->is_array() || value->empty()) fail(key, "must be a list with at least one entry");
   return *value;
 }
 
@@ -104,7 +104,7 @@
 std::vector<std::string> Fields::texts(const std::string& key) const {
   std::vector<std::string> result;
   for (const json& element : list(key)) {
-    if (!element.is_string()) bad(key, "holds something that is not text");
+    if (!element.is_string()) fail(key, "holds something that is not text");
     result.push_back(element.get<std::string>());
   }
   return result;
@@ -112,7 +112,7 @@
 
 void Fields::reject_unknown_keys() const {
   for (const auto& item : object_->items()) {
-    if (!requested_keys_.contains(item.key())) bad(item.key(), "is not a known key");
+    if (!requested_keys_.contains(item.key())) fail(item.key(), "is not a known key");
   }
 }
 
--- a/src/config/fields.hpp
+++ b/src/config/fields.hpp
@@ -29,7 +29,7 @@
   Fields(const nlohmann::json& object, std::string path);
 
   // Throws BadConfig with `what` about the member `key`.
-  [[noreturn]] void bad(const std::string& key, const std::string& what) const;
+  [[noreturn]] void fail(const std::string& key, const std::string& what) const;
   [[nodiscard]] bool has(const std::string& key) const;
 
   std::string text(const std::string& key) const;
--- a/src/config/keys_file.cpp
+++ b/src/config/keys_file.cpp
@@ -28,12 +28,12 @@
 std::array<unsigned char, N> bytes(const Fields& f, const std::string& key) {
   const std::string text = f.text(key);
   std::array<unsigned char, N> result{};
-  if (text.size() != 2 * N) f.bad(key, "is not " + std::to_string(2 * N) + " hexadecimal digits");
+  if (text.size() != 2 * N) f.fail(key, "is not " + std::to_string(2 * N) + " hexadecimal digits");
   for (std::size_t i = 0; i < N; ++i) {
     const auto digit = [&](char c) -> unsigned {
       if (c >= '0' && c <= '9') return unsigned(c - '0');
       if (c >= 'a' && c <= 'f') return unsigned(c - 'a' + 10);
-      f.bad(key, "is not " + std::to_string(2 * N) + " hexadecimal digits");
+      f.fail(key, "is not " + std::to_string(2 * N) + " hexadecimal digits");
     };
     result[i] = static_cast<unsigned char>(digit(text[2 * i]) << 4 | digit(text[2 * i + 1]));
   }
@@ -45,10 +45,10 @@
   key.id = f.text("id");
   if (key.id.size() != 2 * admission::kIdBytes ||
       key.id.find_first_not_of("0123456789abcdef") != std::string::npos) {
-    f.bad("id", "is not " + std::to_string(2 * admission::kIdBytes) + " hexadecimal digits");
+    f.fail("id", "is not " + std::to_string(2 * admission::kIdBytes) + " hexadecimal digits");
   }
   key.tenant = f.text("tenant");
-  if (key.tenant.empty() || key.tenant.size() > 64) f.bad("tenant", "is empty or longer than 64 characters");
+  if (key.tenant.empty() || key.tenant.size() > 64) f.fail("tenant", "is empty or longer than 64 characters");
   if (f.has("models")) key.models = f.texts("models");
   key.limits.requests_per_minute = std::int64_t(f.count("requests_per_minute", 0, 0, 1'000'000'000));
   key.limits.tokens_per_minute = std::int64_t(f.count("tokens_per_minute", 0, 0, 1'000'000'000'000));
@@ -65,8 +65,8 @@
   const Fields root(document, "");
   std::vector<admission::Key> keys;
   const auto list = document.find("keys");
-  if (list == document.end() || !list->is_array()) root.bad("keys", "is not a list");
-  if (list->size() > kMaxKeys) root.bad("keys", "holds more than " + std::to_string(kMaxKeys) + " keys");
+  if (list == document.end() || !list->is_array()) root.fail("keys", "is not a list");
+  if (list->size() > kMaxKeys) root.fail("keys", "holds more than " + std::to_string(kMaxKeys) + " keys");
   if (!list->empty()) {
     for (const Fields& f : root.objects("keys")) keys.push_back(read_key(f));
   }
--- a/src/config/settings_rules.cpp
+++ b/src/config/settings_rules.cpp
@@ -143,7 +143,7 @@
   return kRules;
 }
 
-[[noreturn]] void bad(const std::string& path, const std::string& what) {
+[[noreturn]] void fail(const std::string& path, const std::string& what) {
   throw BadConfig("'settings." + path + "' " + what);
 }
 
@@ -154,13 +154,13 @@
 }
 
 void check_number(const std::string& path, const json& value, const Rule& rule) {
-  if (!value.is_number()) bad(path, "is not a number: " + shortened(value));
+  if (!value.is_number()) fail(path, "is not a number: " + shortened(value));
   const double number = value.get<double>();
-  if (rule.type == Type::integer && number != std::floor(number)) bad(path, "is not a whole number");
+  if (rule.type == Type::integer && number != std::floor(number)) fail(path, "is not a whole number");
   if (number >= rule.min && number <= rule.max) return;
   std::ostringstream message;
   message << "must be between " << rule.min << " and " << rule.max << ": " << number;
-  bad(path, message.str());
+  fail(path, message.str());
 }
 
 void check_type(const std::string& path, const json& value, const Rule& rule) {
@@ -171,17 +171,17 @@
     case Type::integer:
       return check_number(path, value, rule);
     case Type::boolean:
-      if (!value.is_boolean()) bad(path, "is not true or false: " + shortened(value));
+      if (!value.is_boolean()) fail(path, "is not true or false: " + shortened(value));
       return;
     case Type::text:
       if (!value.is_string() || value.get_ref<const std::string&>().empty())
-        bad(path, "is not text: " + shortened(value));
+        fail(path, "is not text: " + shortened(value));
       return;
     case Type::object:
-      if (!value.is_object()) bad(path, "is not an object: " + shortened(value));
+      if (!value.is_object()) fail(path, "is not an object: " + shortened(value));
       return;
     case Type::list:
-      if (!value.is_array()) bad(path, "is not a list: " + shortened(value));
+      if (!value.is_array()) fail(path, "is not a list: " + shortened(value));
       return;
   }
 }
@@ -203,7 +203,7 @@
       const std::string name(known.substr(pattern_prefix.size()));
       if (name.find_first_of(".[") != std::string::npos) continue;
       const auto it = value.find(name);
-      if (it == value.end() || it->is_null()) bad(prefix + name, "is missing");
+      if (it == value.end() || it->is_null()) fail(prefix + name, "is missing");
     }
   }
 
@@ -231,7 +231,7 @@
   checker.check_object(settings, "", "");
   const auto zone = settings.find("zone");
   if (zone != settings.end() && zone->is_number() && zone->get<double>() >= double(settings["azs"].size())) {
-    bad("zone", "must be an index into 'azs'");
+    fail("zone", "must be an index into 'azs'");
   }
   return checker.unknown;
 }
