--- a/src/net/appliance/operator_page.cpp
+++ b/src/net/appliance/operator_page.cpp
@@ -17,10 +17,10 @@
 
 constexpr std::size_t kMaxTenantsOnStatusPage = 20;  // /-/tenants shows all
 
-json tenant_json(const admission::TenantUse& use) {
-  return {{"tenant", use.name},       {"open", use.open},        {"admitted", use.admitted},
-          {"tokens", use.tokens},     {"limited", use.limited},  {"over_share", use.over_share},
-          {"held_off", use.held_off}, {"replayed", use.replayed}};
+json tenant_json(const admission::TenantUse& usage) {
+  return {{"tenant", usage.name},       {"open", usage.open},        {"admitted", usage.admitted},
+          {"tokens", usage.tokens},     {"limited", usage.limited},  {"over_share", usage.over_share},
+          {"held_off", usage.held_off}, {"replayed", usage.replayed}};
 }
 
 // Decodes percent-encoding; nullopt if it is malformed.
@@ -115,7 +115,7 @@
                    {"answer_bytes", door_.ledger().answer_bytes()}}},
                  {"tenants", json::array()}};
   std::vector<const admission::TenantUse*> busiest;
-  for (const auto& [name, use] : door_.tenants()) busiest.push_back(&use);
+  for (const auto& [name, usage] : door_.tenants()) busiest.push_back(&usage);
   const std::size_t shown = std::min(busiest.size(), kMaxTenantsOnStatusPage);
   std::ranges::partial_sort(busiest, busiest.begin() + std::ptrdiff_t(shown),
                             [](const auto* a, const auto* b) {
@@ -128,12 +128,12 @@
 // Each tenant with its usage and its keys, and for each key the limits and what remains of them.
 std::string OperatorPage::tenants() const {
   std::map<std::string, json> all;
-  for (const auto& [name, use] : door_.tenants()) all[name] = tenant_json(use);
+  for (const auto& [name, usage] : door_.tenants()) all[name] = tenant_json(usage);
   if (door_.keys()) {
     for (const auto& [id, key] : door_.keys()->keys()) {
       const auto standing = door_.limiter().standing(scheduler_.now(), id, key.limits);
-      const auto [it, fresh] = all.try_emplace(key.tenant);
-      if (fresh) it->second = tenant_json({key.tenant});
+      const auto [it, inserted] = all.try_emplace(key.tenant);
+      if (inserted) it->second = tenant_json({key.tenant});
       const auto limit = [](std::int64_t most, std::int64_t left) {
         return most > 0 ? json{{"limit", most}, {"left", left}} : json(nullptr);
       };
--- a/tests/stories/operations_stories.cpp
+++ b/tests/stories/operations_stories.cpp
@@ -165,9 +165,7 @@
   CHECK(conductor.status("GET /-/ready") == 200);
 }
 
-TEST_CASE(
-    "A new process takes over the passed socket without failed requests and keeps disabled instances "
-    "disabled") {
+TEST_CASE("A new process takes over the passed socket without failed requests and keeps instances disabled") {
   Record seen;
   Peer a(answering_instance(seen, "a"));
   Peer slow([&seen](Wire& wire) {
@@ -308,8 +306,7 @@
 }
 
 TEST_CASE(
-    "Without a next process a stream finishes where it began and without a passed socket there is no "
-    "handover socket") {
+    "Without a next process a stream ends in its own and only a passed socket opens the handover socket") {
   Record seen;
   Peer slow(slow_instance(seen));
   for (const bool passed : {true, false}) {
