--- a/src/duties/fleet_view.cpp
+++ b/src/duties/fleet_view.cpp
@@ -19,9 +19,9 @@
   }
   Report report;
   report.number = value["number"].get<std::uint64_t>();
-  for (const auto& [box, runs] : value["runs"].items()) {
+  for (const auto& [instance, runs] : value["runs"].items()) {
     if (!runs.is_boolean()) return std::nullopt;
-    report.runs[box] = runs.get<bool>();
+    report.runs[instance] = runs.get<bool>();
   }
   return report;
 }
@@ -29,22 +29,26 @@
 bool FleetView::heard(Time now, std::uint64_t revision, std::string_view text) {
   if (revision <= revision_) return false;
   auto report = decode_report(text);
-  // What can't be read says nothing, and the one before it grows old.
+  // An unreadable report is ignored; the previous one stays until it is too old.
   if (!report) return false;
   revision_ = revision;
   report_ = std::move(*report);
-  at_ = now;
+  received_at_ = now;
   return true;
 }
 
-bool FleetView::asks(Time now, bool owner) const { return owner || !at_ || now - *at_ >= fresh_for_; }
+bool FleetView::asks(Time now, bool owner) const {
+  return owner || !received_at_ || now - *received_at_ >= max_age_;
+}
 
-std::optional<bool> FleetView::runs(Time now, const std::string& box) const {
-  if (!at_ || now - *at_ >= fresh_for_) return std::nullopt;
-  const auto it = report_.runs.find(box);
+std::optional<bool> FleetView::runs(Time now, const std::string& instance) const {
+  if (!received_at_ || now - *received_at_ >= max_age_) return std::nullopt;
+  const auto it = report_.runs.find(instance);
   return it == report_.runs.end() ? std::nullopt : std::optional(it->second);
 }
 
-std::optional<Time> FleetView::age(Time now) const { return at_ ? std::optional(now - *at_) : std::nullopt; }
+std::optional<Time> FleetView::age(Time now) const {
+  return received_at_ ? std::optional(now - *received_at_) : std::nullopt;
+}
 
 }  // namespace bankmux::duties
--- a/src/duties/fleet_view.hpp
+++ b/src/duties/fleet_view.hpp
@@ -1,5 +1,6 @@
-// What a fleet on one store tells of its boxes: the prober's report and the operators' words, as text and
-// back, and whether a report may still stand for asking oneself. Pure.
+// Health reports on instances that a fleet shares through its coordination store: encoding and decoding of
+// the prober's report, and the decision whether it is recent enough to replace this member's own checks.
+// Performs no I/O.
 #pragma once
 
 #include <chrono>
@@ -14,38 +15,40 @@
 
 using Time = std::chrono::microseconds;
 
-constexpr std::string_view kProber = "prober";      // asks each box on behalf of all
-constexpr std::string_view kReportName = "report";  // under its name, what it heard
-constexpr std::string_view kOutPrefix = "out/";     // boxes that operators have taken out, for all
-constexpr std::size_t kMostBoxes = 4096;            // in one report
+constexpr std::string_view kProber = "prober";      // the duty of checking every instance for the whole fleet
+constexpr std::string_view kReportName = "report";  // name of the stored report of the prober
+constexpr std::string_view kOutPrefix = "out/";     // instances that operators have drained fleet-wide
+constexpr std::size_t kMostBoxes = 4096;            // most instances in one report
 
 struct Report {
-  std::uint64_t number = 0;          // grows with each report of one owner
-  std::map<std::string, bool> runs;  // by box: whether it answered, to the prober's best knowledge
+  std::uint64_t number = 0;          // increases with each report of one owner
+  std::map<std::string, bool> runs;  // by instance: whether it answered, as far as the prober knows
 };
 
 std::string encode(const Report& report);
-// Nothing where it is not what encode() writes.
+// Returns nothing if the text is not in the format of encode().
 std::optional<Report> decode_report(std::string_view text);
 
-// A report counts from when this member first saw it: clocks of other machines play no part.
+// The latest report, as seen by one member. Its age counts from when this member first saw it, so that clocks
+// of other machines do not matter.
 class FleetView {
  public:
-  // `fresh_for`: as long as a report stands for asking oneself.
-  explicit FleetView(Time fresh_for) : fresh_for_(fresh_for) {}
+  // `max_age`: how long a report replaces this member's own checks.
+  explicit FleetView(Time max_age) : max_age_(max_age) {}
 
-  // What the store holds of the prober's report, by the revision of its last write. True where it is news.
+  // Takes the stored report and the revision of its last write. Returns true if it was newer and valid.
   bool heard(Time now, std::uint64_t revision, std::string_view text);
-  // Whether this member has to ask the boxes itself: it owns the duty, or nobody has told of late.
+  // Whether this member has to check the instances itself: it owns the duty, or there is no recent report.
   [[nodiscard]] bool asks(Time now, bool owner) const;
-  // Of a fresh report; nothing where it does not tell of that box.
-  [[nodiscard]] std::optional<bool> runs(Time now, const std::string& box) const;
+  // Whether an instance answered, by a recent report; nothing if the report does not contain the instance.
+  [[nodiscard]] std::optional<bool> runs(Time now, const std::string& instance) const;
+  // Time since this member first saw the latest report.
   [[nodiscard]] std::optional<Time> age(Time now) const;
 
  private:
-  Time fresh_for_;
+  Time max_age_;
   std::uint64_t revision_ = 0;
-  std::optional<Time> at_;
+  std::optional<Time> received_at_;
   Report report_;
 };
 
