--- a/src/coordination/sqlite_store.cpp
+++ b/src/coordination/sqlite_store.cpp
@@ -12,10 +12,11 @@
 
 namespace {
 
-constexpr int kFormat = 1;
-constexpr int kBusyMs = 500;              // another process holds the file for a write's fsync at most
-constexpr std::size_t kMostJobs = 1'000;  // waiting; past that the disk is not keeping up
-constexpr std::chrono::milliseconds kLookEvery{50};  // for changes by other processes
+constexpr int kFormatVersion = 1;
+constexpr int kBusyTimeoutMs =
+    500;  // wait for a lock; another process holds it for at most the fsync of one write
+constexpr std::size_t kMaxQueuedJobs = 1'000;  // more waiting calls mean that the disk does not keep up
+constexpr std::chrono::milliseconds kPollInterval{50};  // between checks for changes by other processes
 
 constexpr const char* kSchema =
     "CREATE TABLE IF NOT EXISTS meta(name TEXT PRIMARY KEY, value) WITHOUT ROWID;"
@@ -24,10 +25,10 @@
     "CREATE INDEX IF NOT EXISTS entry_by_lease ON entry(lease) WHERE lease != 0;"
     "CREATE TABLE IF NOT EXISTS lease(id INTEGER PRIMARY KEY, time_to_live INTEGER, until INTEGER);";
 
-// A call that could not be done, by what may have become of it.
-struct Failure {
-  Fault fault;
-  std::string words;
+// A call that failed, with what is known about its effect.
+struct StoreException {
+  FailureKind failure;
+  std::string message;
 };
 
 std::string boot_id() {
@@ -46,7 +47,7 @@
                                               std::chrono::nanoseconds(now.tv_nsec));
 }
 
-// ---- The file, on the thread ----
+// ---- The database file, used by the worker thread only ----
 
 class SqliteStore::File {
  public:
@@ -55,52 +56,54 @@
   File(const File&) = delete;
   File& operator=(const File&) = delete;
 
-  // One transaction: `body` within it, committed at its end. Throws Failure.
+  // Runs `body` within one transaction and commits it. Throws StoreException.
   template <typename Body>
-  void commit(Body body) {
+  void run_transaction(Body body) {
     open();
-    run("BEGIN IMMEDIATE");
+    execute_sql("BEGIN IMMEDIATE");
     try {
-      expire();
+      expire_leases();
       body();
-    } catch (const Failure&) {
+    } catch (const StoreException&) {
       sqlite3_exec(database_, "ROLLBACK", nullptr, nullptr, nullptr);
       throw;
     }
     const int code = sqlite3_exec(database_, "COMMIT", nullptr, nullptr, nullptr);
     if (code == SQLITE_OK) return;
-    const std::string words = sqlite3_errmsg(database_);
-    const bool undone = sqlite3_exec(database_, "ROLLBACK", nullptr, nullptr, nullptr) == SQLITE_OK;
-    // Of a commit that failed otherwise, the disk alone knows what it has kept.
-    throw Failure{code == SQLITE_BUSY && undone ? Fault::not_done : Fault::may_be_done, words};
+    const std::string message = sqlite3_errmsg(database_);
+    const bool rolled_back = sqlite3_exec(database_, "ROLLBACK", nullptr, nullptr, nullptr) == SQLITE_OK;
+    // After any other failed commit it is unknown whether the data reached the disk.
+    throw StoreException{
+        code == SQLITE_BUSY && rolled_back ? FailureKind::not_applied : FailureKind::outcome_unknown,
+        message};
   }
 
   class Statement {
    public:
     Statement(File& file, const char* sql) : file_(file) {
-      if (sqlite3_prepare_v2(file.database_, sql, -1, &statement_, nullptr) != SQLITE_OK) file.fail();
+      if (sqlite3_prepare_v2(file.database_, sql, -1, &statement_, nullptr) != SQLITE_OK) file.throw_error();
     }
     ~Statement() { sqlite3_finalize(statement_); }
     Statement(const Statement&) = delete;
     Statement& operator=(const Statement&) = delete;
-    Statement& with(std::int64_t value) {
+    Statement& bind(std::int64_t value) {
       sqlite3_bind_int64(statement_, ++bound_, value);
       return *this;
     }
-    Statement& with(const std::string& text) {
+    Statement& bind(const std::string& text) {
       sqlite3_bind_blob(statement_, ++bound_, text.data(), int(text.size()), SQLITE_TRANSIENT);
       return *this;
     }
-    bool row() {
+    bool step() {
       const int code = sqlite3_step(statement_);
-      if (code != SQLITE_ROW && code != SQLITE_DONE) file_.fail();
+      if (code != SQLITE_ROW && code != SQLITE_DONE) file_.throw_error();
       return code == SQLITE_ROW;
     }
-    void done() {
-      while (row()) {
+    void execute() {
+      while (step()) {
       }
     }
-    [[nodiscard]] std::int64_t whole(int column) const { return sqlite3_column_int64(statement_, column); }
+    [[nodiscard]] std::int64_t integer(int column) const { return sqlite3_column_int64(statement_, column); }
     [[nodiscard]] std::string text(int column) const {
       const auto* bytes = static_cast<const char*>(sqlite3_column_blob(statement_, column));
       return bytes == nullptr ? std::string()
@@ -114,11 +117,14 @@
   };
 
   std::int64_t meta(const char* name) {
-    Statement ask(*this, "SELECT value FROM meta WHERE name = ?");
-    return ask.with(std::string(name)).row() ? ask.whole(0) : 0;
+    Statement query(*this, "SELECT value FROM meta WHERE name = ?");
+    return query.bind(std::string(name)).step() ? query.integer(0) : 0;
   }
   void set_meta(const char* name, std::int64_t value) {
-    Statement(*this, "INSERT OR REPLACE INTO meta VALUES (?, ?)").with(std::string(name)).with(value).done();
+    Statement(*this, "INSERT OR REPLACE INTO meta VALUES (?, ?)")
+        .bind(std::string(name))
+        .bind(value)
+        .execute();
   }
   Revision revision() { return Revision(meta("revision")); }
   Revision next_revision() {
@@ -127,80 +133,83 @@
     return next;
   }
   bool has_lease(LeaseId lease) {
-    Statement ask(*this, "SELECT 1 FROM lease WHERE id = ?");
-    return ask.with(std::int64_t(lease)).row();
+    Statement query(*this, "SELECT 1 FROM lease WHERE id = ?");
+    return query.bind(std::int64_t(lease)).step();
   }
   void end_lease(LeaseId lease) {
-    Statement(*this, "DELETE FROM lease WHERE id = ?").with(std::int64_t(lease)).done();
-    Statement(*this, "DELETE FROM entry WHERE lease = ?").with(std::int64_t(lease)).done();
+    Statement(*this, "DELETE FROM lease WHERE id = ?").bind(std::int64_t(lease)).execute();
+    Statement(*this, "DELETE FROM entry WHERE lease = ?").bind(std::int64_t(lease)).execute();
     if (sqlite3_changes(database_) > 0) (void)next_revision();
   }
-  // Changes whenever another process, or this one, has committed. -1: can't be told.
-  std::int64_t version() {
+  // Value that changes whenever this process or another one has committed; -1 if it is not available.
+  std::int64_t data_version() {
     if (database_ == nullptr) return -1;
-    Statement ask(*this, "PRAGMA data_version");
-    return ask.row() ? ask.whole(0) : -1;
+    Statement query(*this, "PRAGMA data_version");
+    return query.step() ? query.integer(0) : -1;
   }
 
  private:
-  [[noreturn]] void fail() {
+  [[noreturn]] void throw_error() {
     const int code = sqlite3_errcode(database_);
-    const std::string words = sqlite3_errmsg(database_);
-    const bool lasting = code == SQLITE_CORRUPT || code == SQLITE_NOTADB || code == SQLITE_READONLY ||
-                         code == SQLITE_PERM || code == SQLITE_AUTH;
-    throw Failure{lasting ? Fault::refused : Fault::not_done, words};
+    const std::string message = sqlite3_errmsg(database_);
+    const bool permanent = code == SQLITE_CORRUPT || code == SQLITE_NOTADB || code == SQLITE_READONLY ||
+                           code == SQLITE_PERM || code == SQLITE_AUTH;
+    throw StoreException{permanent ? FailureKind::rejected : FailureKind::not_applied, message};
   }
-  void run(const char* sql) {
-    if (sqlite3_exec(database_, sql, nullptr, nullptr, nullptr) != SQLITE_OK) fail();
+  void execute_sql(const char* sql) {
+    if (sqlite3_exec(database_, sql, nullptr, nullptr, nullptr) != SQLITE_OK) throw_error();
   }
   void open() {
     if (database_ != nullptr) return;
-    const mode_t mask = ::umask(0077);  // of the operator alone
+    const mode_t mask = ::umask(0077);  // accessible to the operator only
     const int code =
         sqlite3_open_v2(path_.c_str(), &database_, SQLITE_OPEN_READWRITE | SQLITE_OPEN_CREATE, nullptr);
     ::umask(mask);
     if (code != SQLITE_OK) {
-      const std::string words = database_ != nullptr ? sqlite3_errmsg(database_) : "no memory";
+      const std::string message = database_ != nullptr ? sqlite3_errmsg(database_) : "no memory";
       close();
-      throw Failure{Fault::not_done, words + ": " + path_};
+      throw StoreException{FailureKind::not_applied, message + ": " + path_};
     }
     try {
-      sqlite3_busy_timeout(database_, kBusyMs);
-      run("PRAGMA journal_mode = WAL");
-      // A token that was given must not be given again after a power cut: boxes remember it.
-      run("PRAGMA synchronous = FULL");
-      run("BEGIN IMMEDIATE");
-      run(kSchema);
+      sqlite3_busy_timeout(database_, kBusyTimeoutMs);
+      execute_sql("PRAGMA journal_mode = WAL");
+      // A fencing token must not be issued again after a power failure, since instances remember it.
+      execute_sql("PRAGMA synchronous = FULL");
+      execute_sql("BEGIN IMMEDIATE");
+      execute_sql(kSchema);
       const std::int64_t format = meta("format");
-      if (format != 0 && format != kFormat) {
-        throw Failure{Fault::refused, path_ + " is of another version's format"};
+      if (format != 0 && format != kFormatVersion) {
+        throw StoreException{FailureKind::rejected, path_ + " is of another version's format"};
       }
-      set_meta("format", kFormat);
-      forget_other_boots();
-      run("COMMIT");
-    } catch (const Failure&) {
+      set_meta("format", kFormatVersion);
+      drop_leases_of_earlier_boots();
+      execute_sql("COMMIT");
+    } catch (const StoreException&) {
       close();
       throw;
     }
   }
-  // The clock of leases began anew with the machine.
-  void forget_other_boots() {
-    const std::string now = boot_id();
-    Statement ask(*this, "SELECT value FROM meta WHERE name = ?");
-    if (ask.with(std::string("boot")).row() && ask.text(0) == now) return;
-    run("DELETE FROM lease");
-    run("DELETE FROM entry WHERE lease != 0");
+  // Leases are timed by the boot clock, so those from before a reboot of the machine are invalid.
+  void drop_leases_of_earlier_boots() {
+    const std::string boot = boot_id();
+    Statement query(*this, "SELECT value FROM meta WHERE name = ?");
+    if (query.bind(std::string("boot")).step() && query.text(0) == boot) return;
+    execute_sql("DELETE FROM lease");
+    execute_sql("DELETE FROM entry WHERE lease != 0");
     (void)next_revision();
-    Statement(*this, "INSERT OR REPLACE INTO meta VALUES (?, ?)").with(std::string("boot")).with(now).done();
+    Statement(*this, "INSERT OR REPLACE INTO meta VALUES (?, ?)")
+        .bind(std::string("boot"))
+        .bind(boot)
+        .execute();
   }
-  void expire() {
-    std::vector<LeaseId> over;
+  void expire_leases() {
+    std::vector<LeaseId> expired;
     {
-      Statement ask(*this, "SELECT id FROM lease WHERE until <= ?");
-      ask.with(boot_time().count());
-      while (ask.row()) over.push_back(LeaseId(ask.whole(0)));
+      Statement query(*this, "SELECT id FROM lease WHERE until <= ?");
+      query.bind(boot_time().count());
+      while (query.step()) expired.push_back(LeaseId(query.integer(0)));
     }
-    for (const LeaseId lease : over) end_lease(lease);
+    for (const LeaseId lease : expired) end_lease(lease);
   }
   void close() {
     sqlite3_close_v2(database_);
@@ -213,36 +222,36 @@
 
 class SqliteStore::FileWatch : public Watch {
  public:
-  FileWatch(std::shared_ptr<std::set<FileWatch*>> all, std::function<void()> told)
-      : changed(std::move(told)), all_(std::move(all)) {
-    all_->insert(this);
+  FileWatch(std::shared_ptr<std::set<FileWatch*>> all, std::function<void()> on_change)
+      : changed(std::move(on_change)), registry_(std::move(all)) {
+    registry_->insert(this);
   }
-  ~FileWatch() override { all_->erase(this); }
+  ~FileWatch() override { registry_->erase(this); }
   std::function<void()> changed;
 
  private:
-  std::shared_ptr<std::set<FileWatch*>> all_;
+  std::shared_ptr<std::set<FileWatch*>> registry_;
 };
 
-// ---- The store, on the loop ----
+// ---- The store, used on the event loop ----
 
 SqliteStore::SqliteStore(std::string path, Post post)
     : path_(std::move(path)),
       post_(std::move(post)),
       watches_(std::make_shared<std::set<FileWatch*>>()),
-      thread_([this] { work(); }) {}
+      thread_([this] { run_worker(); }) {}
 
 SqliteStore::~SqliteStore() {
   *alive_ = false;
   {
     const std::lock_guard lock(mutex_);
-    ending_ = true;
+    stopping_ = true;
   }
-  changed_.notify_all();
+  wakeup_.notify_all();
   thread_.join();
 }
 
-void SqliteStore::answer(std::function<void()> run) {
+void SqliteStore::post_to_loop(std::function<void()> run) {
   post_([alive = alive_, run = std::move(run)] {
     if (*alive) run();
   });
@@ -251,40 +260,41 @@
 bool SqliteStore::enqueue(Job job) {
   {
     const std::lock_guard lock(mutex_);
-    if (jobs_.size() >= kMostJobs) return false;
+    if (jobs_.size() >= kMaxQueuedJobs) return false;
     jobs_.push_back(std::move(job));
   }
-  changed_.notify_all();
+  wakeup_.notify_all();
   return true;
 }
 
-void SqliteStore::work() {
+void SqliteStore::run_worker() {
   File file(path_);
   std::unique_lock lock(mutex_);
-  std::int64_t version = -1;
-  Revision told = 0;
-  while (!ending_) {
+  std::int64_t last_version = -1;
+  Revision announced = 0;
+  while (!stopping_) {
     if (jobs_.empty()) {
       if (!watched_) {
-        changed_.wait(lock);
+        wakeup_.wait(lock);
         continue;
       }
-      changed_.wait_for(lock, kLookEvery);
+      wakeup_.wait_for(lock, kPollInterval);
     }
-    std::deque<Job> now;
-    now.swap(jobs_);
+    std::deque<Job> batch;
+    batch.swap(jobs_);
     const bool watched = watched_;
     lock.unlock();
-    for (const Job& job : now) job(file);
+    for (const Job& job : batch) job(file);
     if (watched) {
       try {
-        const std::int64_t seen = file.version();
-        // Own commits leave the version as it is. A renewal changes nothing that anyone else reads, so the
-        // revision decides: else each of n members would wake all others with each of its renewals.
-        if (seen >= 0 && (!now.empty() || seen != version)) {
+        const std::int64_t current = file.data_version();
+        // Commits of this connection do not change the data version. Lease renewals do not change the
+        // revision, so the revision decides: otherwise each of n members would wake all others with every
+        // renewal.
+        if (current >= 0 && (!batch.empty() || current != last_version)) {
           const Revision revision = file.revision();
-          if (std::exchange(told, revision) != revision) {
-            answer([watches = watches_] {
+          if (std::exchange(announced, revision) != revision) {
+            post_to_loop([watches = watches_] {
               const std::set<FileWatch*> all = *watches;
               for (FileWatch* watch : all) {
                 if (watches->contains(watch)) watch->changed();
@@ -292,9 +302,9 @@
             });
           }
         }
-        version = seen;
-      } catch (const Failure&) {
-        // Its next call meets the same fault and tells it.
+        last_version = current;
+      } catch (const StoreException&) {
+        // The next call meets the same failure and reports it.
       }
     }
     lock.lock();
@@ -303,91 +313,91 @@
 
 void SqliteStore::transact(Transaction transaction, std::function<void(Result)> done) {
   const auto shared = std::make_shared<std::function<void(Result)>>(std::move(done));
-  const bool taken = enqueue([this, t = std::move(transaction), shared](File& file) {
+  const bool queued = enqueue([this, t = std::move(transaction), shared](File& file) {
     Result result;
     try {
-      file.commit([&] {
+      file.run_transaction([&] {
         result = {};
         result.applied = true;
-        for (const Compare& compare : t.when) {
-          File::Statement ask(file, "SELECT modified FROM entry WHERE key = ?");
-          const Revision there = ask.with(compare.key).row() ? Revision(ask.whole(0)) : 0;
-          if (there != compare.modified) result.applied = false;
+        for (const Compare& compare : t.conditions) {
+          File::Statement query(file, "SELECT modified FROM entry WHERE key = ?");
+          const Revision actual = query.bind(compare.key).step() ? Revision(query.integer(0)) : 0;
+          if (actual != compare.modified) result.applied = false;
         }
-        for (const Write& write : t.then) {
+        for (const Write& write : t.writes) {
           const auto* put = std::get_if<Put>(&write);
           if (put != nullptr && put->lease != 0 && !file.has_lease(put->lease)) result.applied = false;
         }
-        if (result.applied && !t.then.empty()) {
+        if (result.applied && !t.writes.empty()) {
           const auto revision = std::int64_t(file.next_revision());
-          for (const Write& write : t.then) {
+          for (const Write& write : t.writes) {
             if (const auto* put = std::get_if<Put>(&write)) {
               File::Statement(file,
                               "INSERT INTO entry VALUES (?1, ?2, ?3, ?3, ?4) ON CONFLICT(key) DO UPDATE SET"
                               " value = ?2, modified = ?3, lease = ?4")
-                  .with(put->key)
-                  .with(put->value)
-                  .with(revision)
-                  .with(std::int64_t(put->lease))
-                  .done();
+                  .bind(put->key)
+                  .bind(put->value)
+                  .bind(revision)
+                  .bind(std::int64_t(put->lease))
+                  .execute();
             } else {
               File::Statement(file, "DELETE FROM entry WHERE key = ?")
-                  .with(std::get<Erase>(write).key)
-                  .done();
+                  .bind(std::get<Erase>(write).key)
+                  .execute();
             }
           }
         }
-        for (const std::string& prefix : t.read) {
-          File::Statement ask(
+        for (const std::string& prefix : t.read_prefixes) {
+          File::Statement query(
               file, "SELECT key, value, created, modified, lease FROM entry WHERE key >= ? ORDER BY key");
-          ask.with(prefix);
-          while (ask.row()) {
-            Entry entry{ask.text(0), ask.text(1), Revision(ask.whole(2)), Revision(ask.whole(3)),
-                        LeaseId(ask.whole(4))};
+          query.bind(prefix);
+          while (query.step()) {
+            Entry entry{query.text(0), query.text(1), Revision(query.integer(2)), Revision(query.integer(3)),
+                        LeaseId(query.integer(4))};
             if (!entry.key.starts_with(prefix)) break;
             result.entries.push_back(std::move(entry));
           }
         }
         result.revision = file.revision();
       });
-    } catch (const Failure& failure) {
+    } catch (const StoreException& exception) {
       result = {};
-      result.fault = failure.fault;
-      result.words = failure.words;
+      result.failure = exception.failure;
+      result.message = exception.message;
     }
-    answer([shared, result = std::move(result)] { (*shared)(result); });
+    post_to_loop([shared, result = std::move(result)] { (*shared)(result); });
   });
-  if (!taken) {
-    Result full;
-    full.fault = Fault::not_done;
-    full.words = "too many calls wait for the disk";
-    post_([shared, full] { (*shared)(full); });
+  if (!queued) {
+    Result rejected_call;
+    rejected_call.failure = FailureKind::not_applied;
+    rejected_call.message = "too many calls wait for the disk";
+    post_([shared, rejected_call] { (*shared)(rejected_call); });
   }
 }
 
 namespace {
 
-// A call on leases, and its answer.
+// Runs a lease operation in a transaction and returns its result.
 template <typename File, typename Body>
-LeaseResult on_lease(File& file, Body body) {
+LeaseResult run_lease_operation(File& file, Body body) {
   LeaseResult result;
   try {
-    file.commit([&] {
+    file.run_transaction([&] {
       result = {};
       body(result);
       result.revision = file.revision();
     });
-  } catch (const Failure& failure) {
+  } catch (const StoreException& exception) {
     result = {};
-    result.fault = failure.fault;
-    result.words = failure.words;
+    result.failure = exception.failure;
+    result.message = exception.message;
   }
   return result;
 }
 
 void no_such_lease(LeaseResult& result) {
-  result.fault = Fault::refused;
-  result.words = "no such lease any more";
+  result.failure = FailureKind::rejected;
+  result.message = "no such lease any more";
 }
 
 }  // namespace
@@ -395,44 +405,44 @@
 void SqliteStore::grant(Duration time_to_live, std::function<void(LeaseResult)> done) {
   const auto shared = std::make_shared<std::function<void(LeaseResult)>>(std::move(done));
   enqueue([this, time_to_live, shared](File& file) {
-    const LeaseResult result = on_lease(file, [&](LeaseResult& r) {
+    const LeaseResult result = run_lease_operation(file, [&](LeaseResult& r) {
       const std::int64_t id = file.meta("lease") + 1;
       file.set_meta("lease", id);
       typename File::Statement(file, "INSERT INTO lease VALUES (?, ?, ?)")
-          .with(id)
-          .with(time_to_live.count())
-          .with((boot_time() + time_to_live).count())
-          .done();
+          .bind(id)
+          .bind(time_to_live.count())
+          .bind((boot_time() + time_to_live).count())
+          .execute();
       r.lease = LeaseId(id);
     });
-    answer([shared, result] { (*shared)(result); });
+    post_to_loop([shared, result] { (*shared)(result); });
   });
 }
 
 void SqliteStore::keep_alive(LeaseId lease, std::function<void(LeaseResult)> done) {
   const auto shared = std::make_shared<std::function<void(LeaseResult)>>(std::move(done));
   enqueue([this, lease, shared](File& file) {
-    const LeaseResult result = on_lease(file, [&](LeaseResult& r) {
+    const LeaseResult result = run_lease_operation(file, [&](LeaseResult& r) {
       r.lease = lease;
       if (!file.has_lease(lease)) return no_such_lease(r);
       File::Statement(file, "UPDATE lease SET until = ? + time_to_live WHERE id = ?")
-          .with(boot_time().count())
-          .with(std::int64_t(lease))
-          .done();
+          .bind(boot_time().count())
+          .bind(std::int64_t(lease))
+          .execute();
     });
-    answer([shared, result] { (*shared)(result); });
+    post_to_loop([shared, result] { (*shared)(result); });
   });
 }
 
 void SqliteStore::revoke(LeaseId lease, std::function<void(LeaseResult)> done) {
   const auto shared = std::make_shared<std::function<void(LeaseResult)>>(std::move(done));
   enqueue([this, lease, shared](File& file) {
-    const LeaseResult result = on_lease(file, [&](LeaseResult& r) {
+    const LeaseResult result = run_lease_operation(file, [&](LeaseResult& r) {
       r.lease = lease;
       if (!file.has_lease(lease)) return no_such_lease(r);
       file.end_lease(lease);
     });
-    answer([shared, result] { (*shared)(result); });
+    post_to_loop([shared, result] { (*shared)(result); });
   });
 }
 
@@ -441,7 +451,7 @@
     const std::lock_guard lock(mutex_);
     watched_ = true;
   }
-  changed_.notify_all();
+  wakeup_.notify_all();
   return std::make_unique<FileWatch>(watches_, std::move(changed));
 }
 
--- a/src/coordination/sqlite_store.hpp
+++ b/src/coordination/sqlite_store.hpp
@@ -1,5 +1,6 @@
-// The store for several processes of one machine: an SQLite file (write-ahead log, immediate transactions) in
-// the operator's state folder. A thread of its own does all that may wait for the disk or another process.
+// Coordination store for several processes on one machine: an SQLite file (write-ahead log, immediate
+// transactions) in the operator's state folder. A separate thread performs all work that may wait for the
+// disk or for another process.
 #pragma once
 
 #include <condition_variable>
@@ -16,8 +17,8 @@
 
 class SqliteStore : public Store {
  public:
-  // `post` brings work onto the caller's loop, from any thread. The file is opened with the first call; one
-  // that can't be is a fault of that call, and is tried again with the next.
+  // `post` runs a function on the caller's event loop and may be called from any thread. The file is opened
+  // by the first call. If opening fails, that call fails, and the next call tries again.
   using Post = std::function<void(std::function<void()>)>;
   SqliteStore(std::string path, Post post);
   ~SqliteStore() override;
@@ -33,25 +34,25 @@
  private:
   class File;
   class FileWatch;
-  // Runs on the thread, with the file open, or with the fault of opening it.
+  // Runs on the worker thread and handles a failure to open the file.
   using Job = std::function<void(File&)>;
   bool enqueue(Job job);
-  void work();
+  void run_worker();
   void look_for_changes(File& file);
-  void answer(std::function<void()> run);
+  void post_to_loop(std::function<void()> run);
 
   std::string path_;
   Post post_;
-  std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);  // on the loop
-  std::shared_ptr<std::set<FileWatch*>> watches_;               // on the loop
+  std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);  // used on the loop
+  std::shared_ptr<std::set<FileWatch*>> watches_;               // used on the loop
   std::mutex mutex_;
-  std::condition_variable changed_;
+  std::condition_variable wakeup_;
   std::deque<Job> jobs_;
-  bool ending_ = false, watched_ = false;
+  bool stopping_ = false, watched_ = false;
   std::thread thread_;
 };
 
-// Time by the clock that all processes of a machine share and that runs while it sleeps.
+// Time since boot, by a clock that all processes of a machine share and that advances during suspend.
 [[nodiscard]] Duration boot_time();
 
 }  // namespace bankmux::coordination
--- a/src/coordination/store.hpp
+++ b/src/coordination/store.hpp
@@ -1,6 +1,6 @@
-// What several processes agree on: a small store of keys with compare-and-set over several keys at once,
-// leases with a time to live, and a revision that only grows. Behind one interface, so that nothing above
-// knows which store it is. Answers come on the loop, never from within the call.
+// Interface of the coordination store that several processes share: a small key-value store with
+// compare-and-set transactions over several keys, leases with a time to live, and a revision that only grows.
+// Callers do not depend on a particular store. Results arrive on the event loop, never from within the call.
 #pragma once
 
 #include <chrono>
@@ -16,24 +16,24 @@
 namespace bankmux::coordination {
 
 using Duration = std::chrono::microseconds;
-using Revision = std::uint64_t;  // of the whole store; each transaction that writes has the next
+using Revision = std::uint64_t;  // of the whole store; each transaction that writes increments it
 using LeaseId = std::uint64_t;   // 0: none
 
-// Why a call has no answer.
-enum class Fault {
-  refused,     // the store says no, or can't be believed: trying again changes nothing
-  not_done,    // nothing has changed there; it may be tried again
-  may_be_done  // nobody knows: read before acting
+// Why a call has no result.
+enum class FailureKind {
+  rejected,        // rejected by the store, or the store is unusable: a retry gives the same result
+  not_applied,     // not applied: the call may be retried
+  outcome_unknown  // may have been applied: the store has to be read before anything relies on it
 };
 
 struct Entry {
   std::string key, value;
-  Revision created = 0;   // when the key came to be, since it was last absent
-  Revision modified = 0;  // its last write
-  LeaseId lease = 0;      // with which it vanishes
+  Revision created = 0;   // revision of the first write since the key was last absent
+  Revision modified = 0;  // revision of the last write
+  LeaseId lease = 0;      // the key is removed when this lease ends
 };
 
-// Holds where the key was last written at that revision; 0: where there is no such key.
+// Condition: the key was last written at that revision, or, if the revision is 0, does not exist.
 struct Compare {
   std::string key;
   Revision modified = 0;
@@ -48,29 +48,30 @@
 };
 using Write = std::variant<Put, Erase>;
 
-// All writes, if all comparisons hold; none otherwise. Either way it tells what `read` holds by then.
+// Applies all writes if all conditions hold, and none otherwise. In both cases returns the entries under the
+// prefixes in `read_prefixes` as they are afterwards.
 struct Transaction {
-  std::vector<Compare> when;
-  std::vector<Write> then;
-  std::vector<std::string> read;  // prefixes
+  std::vector<Compare> conditions;
+  std::vector<Write> writes;
+  std::vector<std::string> read_prefixes;
 };
 
 struct Result {
-  std::optional<Fault> fault;
+  std::optional<FailureKind> failure;
   bool applied = false;
   Revision revision = 0;  // of the store, after this call
   std::vector<Entry> entries;
-  std::string words;  // of a fault, for the log
+  std::string message;  // describes a failure, for the log
 };
 
 struct LeaseResult {
-  std::optional<Fault> fault;  // refused: there is no such lease any more
+  std::optional<FailureKind> failure;  // rejected: the lease no longer exists
   LeaseId lease = 0;
   Revision revision = 0;
-  std::string words;
+  std::string message;
 };
 
-// Ends what it watches when destroyed.
+// A subscription to changes of the store; destroying it ends the subscription.
 class Watch {
  public:
   virtual ~Watch() = default;
@@ -82,10 +83,10 @@
   virtual void transact(Transaction transaction, std::function<void(Result)> done) = 0;
   virtual void grant(Duration time_to_live, std::function<void(LeaseResult)> done) = 0;
   virtual void keep_alive(LeaseId lease, std::function<void(LeaseResult)> done) = 0;
-  // All keys that hang on it go at once.
+  // Ends the lease and removes all keys attached to it at once.
   virtual void revoke(LeaseId lease, std::function<void(LeaseResult)> done) = 0;
-  // `changed` is called some time after anything at or under the prefix has changed: reading is left to the
-  // caller, so that a watch that misses events by compaction or a break loses nothing.
+  // Calls `changed` some time after any key at or under the prefix has changed. The caller then reads the
+  // entries itself, so that a watch that misses events through compaction or a lost connection loses nothing.
   [[nodiscard]] virtual std::unique_ptr<Watch> watch(std::string prefix, std::function<void()> changed) = 0;
 };
 
--- a/src/duties/duty_runner.hpp
+++ b/src/duties/duty_runner.hpp
@@ -1,5 +1,5 @@
-// Runs a member's part of ownership over a store: asks what Ownership says, tells it the answers, and is the
-// one way by which duties and operators write.
+// Runs the Ownership protocol of one member against a coordination store: makes the calls that Ownership asks
+// for and passes the answers back. All writes of duties and operators go through it.
 #pragma once
 
 #include <functional>
@@ -17,40 +17,43 @@
 
 class DutyRunner {
  public:
-  using Clock = std::function<ownership::Time()>;  // one that also runs while the machine sleeps
+  using Clock = std::function<ownership::Time()>;  // advances also while the machine is suspended
   using Log = std::function<void(const std::string&)>;
-  // What the fleet has written under these prefixes, whenever it may have changed.
-  using State = std::function<void(const std::vector<coordination::Entry>&)>;
+  // Receives the entries under the watched prefixes whenever they may have changed.
+  using StateCallback = std::function<void(const std::vector<coordination::Entry>&)>;
 
   DutyRunner(core::Scheduler& scheduler, coordination::Store& store, ownership::Settings settings,
              Clock clock, Log log);
   DutyRunner(const DutyRunner&) = delete;
   DutyRunner& operator=(const DutyRunner&) = delete;
 
-  void start(std::vector<std::string> prefixes, State state);
-  // Lets go of everything in order, so that others need not wait for the lease; `left` once that is done, or
-  // can't be.
-  void leave(std::function<void()> left);
+  // Joins the fleet and begins to watch the entries under `prefixes`.
+  void start(std::vector<std::string> prefixes, StateCallback on_state);
+  // Releases all duties by revoking the lease, so that other members need not wait for its expiry. Calls
+  // `on_left` when that is done, or after one second without success.
+  void leave(std::function<void()> on_left);
 
   [[nodiscard]] std::optional<ownership::Grant> grant(const ownership::Duty& duty) const;
-  // A fenced write of a duty. `done(false)`: it has no effect, or nobody knows; the next one says it anew.
+  // Writes as the owner of a duty, fenced by `grant`. `done(false)` means that the write was not applied or
+  // that its outcome is unknown; the next write replaces it.
   void write(const ownership::Grant& grant, std::vector<coordination::Write> writes,
              std::function<void(bool)> done);
-  // An operator's word to all, which stands on no duty: the last one counts. `done(false)`: it may have been
-  // written or not, and the operator is told to call again.
+  // Writes an operator's command for the whole fleet. It needs no grant; the last write wins. `done(false)`
+  // means that it may or may not have been written, and the operator is asked to call again.
   void say(coordination::Write write, std::function<void(bool)> done);
 
-  // Who owns what, since when, by which token; who is a member; the last act and those refused.
+  // For the operator page: members, and for each duty its owner, token, time of ownership, last write, and
+  // numbers of applied and rejected writes.
   [[nodiscard]] nlohmann::json describe() const;
 
  private:
-  struct Done {
-    std::uint64_t acts = 0, refused = 0;
-    std::optional<ownership::Time> last;
+  struct WriteCounts {
+    std::uint64_t applied = 0, rejected = 0;
+    std::optional<ownership::Time> last_applied;
   };
   void step();
-  void perform(const ownership::Call& call);
-  void heard(std::uint64_t number, ownership::Answer answer, const std::string& words);
+  void send_call(const ownership::Call& call);
+  void handle_answer(std::uint64_t number, ownership::Answer answer, const std::string& message);
   void read_state();
   void log_changes();
 
@@ -60,18 +63,18 @@
   ownership::Ownership ownership_;
   Clock clock_;
   Log log_;
-  std::mt19937_64 draw_;
+  std::mt19937_64 random_;
   std::vector<std::string> prefixes_;
-  State state_;
-  std::function<void()> left_;
+  StateCallback on_state_;
+  std::function<void()> on_left_;
   std::unique_ptr<coordination::Watch> watch_;
-  std::unique_ptr<core::Timer> next_;
-  bool reading_ = false, read_again_ = false;
-  std::map<ownership::Duty, ownership::Held> known_;  // as last logged
-  std::map<ownership::Duty, ownership::Time> since_;  // as this member has seen it
-  std::map<ownership::Duty, Done> done_;
-  std::uint64_t calls_ = 0;  // to the store
-  std::string fault_;        // of the last call; empty: it was answered
+  std::unique_ptr<core::Timer> timer_;
+  bool read_pending_ = false, read_again_ = false;
+  std::map<ownership::Duty, ownership::OwnerRecord> logged_owners_;  // owners as last logged
+  std::map<ownership::Duty, ownership::Time> first_seen_;  // when this member first saw the current owner
+  std::map<ownership::Duty, WriteCounts> write_counts_;
+  std::uint64_t store_calls_ = 0;  // made to the store
+  std::string last_failure_;       // of the last ownership call; empty if it succeeded
   std::shared_ptr<bool> alive_;
 };
 
--- a/src/ownership/ownership.hpp
+++ b/src/ownership/ownership.hpp
@@ -1,5 +1,6 @@
-// Which member of a fleet owns which duty, and until when it may act: one member's part. Pure: time and
-// answers in, calls and beliefs out. The protocol and its reasons are in docs/ownership-design.md.
+// Lease-based ownership of duties in a fleet, as seen by one member: which member owns which duty, and until
+// when this member may act as owner. Performs no I/O: the caller passes in the time and the store's answers
+// and sends the calls that this class returns. The protocol is described in docs/ownership-design.md.
 #pragma once
 
 #include <cstdint>
@@ -17,25 +18,32 @@
 using coordination::Duration;
 using coordination::LeaseId;
 using coordination::Revision;
-// Of a clock that never goes backwards and also runs while the machine sleeps.
+// Reading of a monotonic clock that also advances while the machine is suspended.
 using Time = std::chrono::microseconds;
 
-// A name and a shard, as "prober/3". No further slash.
+// Name of a task that one member performs for the whole fleet, optionally with a shard number, as in
+// "prober/3". It has at most one slash.
 using Duty = std::string;
 
 struct Settings {
-  std::string self;               // this member's name, of letters, digits, '-', '_' and '.'
-  std::uint64_t incarnation = 0;  // drawn at each start: a name may come back within its old lease
+  std::string self;               // this member's name: letters, digits, '-', '_' and '.'
+  std::uint64_t incarnation = 0;  // random per process start: tells a restarted member apart from its
+                                  // predecessor, whose lease may still run
   std::vector<Duty> duties;
   Duration time_to_live{10'000'000};
-  Duration margin{1'000'000};  // the longest act: acting ends so long before the lease
-  double drift = 0.01;         // most by which this clock may run slow against the store's
-  Duration dwell{5'000'000};   // least time that a duty stays before it is let go for another
-  Duration first_wait{100'000}, most_wait{5'000'000};  // after a fault; doubled, and a drawn half taken off
+  Duration margin{
+      1'000'000};       // longest duration of one owner operation: grants end this long before the lease
+  double drift = 0.01;  // largest fraction by which this clock may run slower than the store's
+  Duration dwell{
+      5'000'000};  // minimum time that a member keeps a duty before it releases it to another member
+  // Wait after a failed call: doubled for each consecutive failure, then reduced by a random share of up to
+  // one half.
+  Duration initial_backoff{100'000}, max_backoff{5'000'000};
 };
 
-// The right to act for a duty. Made by Ownership alone; what it stands on may end at any moment, so an act
-// also carries the token, and the store compares it where the act lands.
+// Permission to act as the owner of a duty until a given time. Only Ownership creates grants. Ownership may
+// be lost at any moment, so each write also carries the grant's fencing token, which the store compares when
+// it applies the write.
 class Grant {
  public:
   [[nodiscard]] const Duty& duty() const { return duty_; }
@@ -50,33 +58,34 @@
   Time until_;
 };
 
-// Writes of a duty, fenced: refused as a whole where the grant has been followed by a newer one. The only way
-// by which a duty writes.
-[[nodiscard]] coordination::Transaction act(const Grant& grant, std::vector<coordination::Write> writes,
-                                            std::vector<std::string> read = {});
-// Where a duty keeps what it writes, under its name.
+// Builds a transaction with the owner's writes that the store applies only while `grant` is the newest grant
+// of its duty (fencing). All writes that are made as an owner go through it.
+[[nodiscard]] coordination::Transaction fenced_transaction(const Grant& grant,
+                                                           std::vector<coordination::Write> writes,
+                                                           std::vector<std::string> read_prefixes = {});
+// Key under which a duty stores the value `name`.
 [[nodiscard]] std::string state_key(std::string_view duty, std::string_view name);
 
-// What the store told of one duty or member.
-struct Held {
+// Owner of a duty, or a member's registration, as read from the store.
+struct OwnerRecord {
   std::string owner;
   std::uint64_t incarnation = 0;
   Revision token = 0;
   LeaseId lease = 0;
 };
 
-// What is to be asked of the store. One call is out at a time.
+// A call to be made to the store. At most one call is pending at a time.
 struct Call {
   enum class Kind { grant, keep_alive, revoke, join, claim, release, read };
   Kind kind = Kind::read;
-  std::uint64_t number = 0;  // to be given back with its answer
+  std::uint64_t number = 0;  // the answer is reported under this number
   LeaseId lease = 0;
   coordination::Transaction transaction;  // of join, claim, release and read
 };
 
-// The answer to a call: a Result's or LeaseResult's part.
+// The answer to a call: the relevant fields of a Result or a LeaseResult.
 struct Answer {
-  std::optional<coordination::Fault> fault;
+  std::optional<coordination::FailureKind> failure;
   bool applied = false;
   LeaseId lease = 0;
   Revision revision = 0;
@@ -87,65 +96,68 @@
  public:
   explicit Ownership(Settings settings);
 
-  // What to ask now, if anything. `unit`, in [0, 1), is drawn by the caller: it spreads waits.
-  [[nodiscard]] std::optional<Call> next(Time now, double unit);
-  // The answer to the call of that number; one to any other call, or a second one, says nothing.
-  void answered(Time now, std::uint64_t number, const Answer& answer);
-  // The store has changed: what is believed of it is read again.
-  void changed() { stale_ = true; }
-  // This member lets go of all in order and takes nothing more.
+  // Returns the call to make now, if any. `unit` is a random number in [0, 1) that spreads the waits of
+  // several members.
+  [[nodiscard]] std::optional<Call> next_call(Time now, double jitter);
+  // Handles the answer to the call with that number. Answers to other calls and repeated answers are ignored.
+  void handle_answer(Time now, std::uint64_t number, const Answer& answer);
+  // To be called when the store has changed: its entries are read again.
+  void store_changed() { stale_ = true; }
+  // Begins to leave the fleet: revokes the lease, which releases all duties, and claims nothing more.
   void leave() { leaving_ = true; }
 
-  // The right to act for a duty at this moment; nothing where it is another's, or the time is over.
+  // The grant for a duty at this moment; nothing if another member owns it or the grant's time has ended.
   [[nodiscard]] std::optional<Grant> grant(const Duty& duty, Time now) const;
 
-  // Whose each duty is and who is a member, as last read.
-  [[nodiscard]] const std::map<Duty, Held>& owners() const { return owners_; }
-  [[nodiscard]] const std::map<std::string, Held>& members() const { return members_; }
-  // The member that a duty should have, by those known.
-  [[nodiscard]] std::string chosen(const Duty& duty) const;
-  // When something next falls due.
-  [[nodiscard]] Time due() const { return due_; }
-  [[nodiscard]] Time acts_until() const { return acts_until_; }
-  // The store told a revision lower than one seen before: nothing is owned until an operator has looked.
-  [[nodiscard]] bool set_back() const { return set_back_; }
-  [[nodiscard]] bool left() const { return leaving_ && lease_ == 0 && !out_; }
-  // All that decides what comes next, for a model that compares states. Times as from `now`.
+  // Owners by duty, and members by name, as last read from the store.
+  [[nodiscard]] const std::map<Duty, OwnerRecord>& owners() const { return owners_; }
+  [[nodiscard]] const std::map<std::string, OwnerRecord>& members() const { return members_; }
+  // The member that should own a duty, by rendezvous hashing over the known members.
+  [[nodiscard]] std::string preferred_owner(const Duty& duty) const;
+  // When next_call() may have something to do next.
+  [[nodiscard]] Time next_due() const { return next_due_; }
+  [[nodiscard]] Time grants_valid_until() const { return grants_valid_until_; }
+  // The store reported a revision lower than an earlier one, as after a restored backup. Nothing is owned
+  // until an operator has intervened.
+  [[nodiscard]] bool rolled_back() const { return rolled_back_; }
+  [[nodiscard]] bool has_left() const { return leaving_ && lease_ == 0 && !pending_; }
+  // Text of all state that determines later behaviour, for model checking. Times are relative to `now`.
   [[nodiscard]] std::string fingerprint(Time now) const;
 
  private:
-  void lose();
-  void wait(Time now);
-  void hold(Time now);
-  void take(Time now, const std::vector<coordination::Entry>& entries);
-  [[nodiscard]] std::optional<Call> choose(Time now);
-  [[nodiscard]] Call call(Call::Kind kind, coordination::Transaction transaction = {}) const;
-  [[nodiscard]] std::optional<Call> move_duties(Time now);
-  [[nodiscard]] bool mine(const Held& held) const;
+  void drop_lease();
+  void back_off(Time now);
+  void extend_lease(Time now);
+  void apply_entries(Time now, const std::vector<coordination::Entry>& entries);
+  [[nodiscard]] std::optional<Call> choose_call(Time now);
+  [[nodiscard]] Call make_call(Call::Kind kind, coordination::Transaction transaction = {}) const;
+  [[nodiscard]] std::optional<Call> rebalance_duties(Time now);
+  [[nodiscard]] bool is_own(const OwnerRecord& record) const;
   [[nodiscard]] std::string identity() const;
 
-  Settings s_;
+  Settings settings_;
   LeaseId lease_ = 0;
-  Time lease_until_{0};  // the store may end it from then on
-  Time acts_until_{0};
+  Time lease_expires_at_{0};  // from then on the store may have ended the lease
+  Time grants_valid_until_{0};
   Time renew_at_{0};
   bool joined_ = false;
-  Revision joined_at_ = 0;
-  bool stale_ = true;  // what is believed of the store has to be read
+  Revision joined_revision_ = 0;
+  bool stale_ = true;  // the entries have to be read from the store again
   bool leaving_ = false;
-  bool set_back_ = false;
-  Revision seen_ = 0;
-  std::map<Duty, Held> owners_;
-  std::map<std::string, Held> members_;
-  std::map<Duty, Time> since_;  // own duties, from their claim
-  std::set<Revision> let_go_;   // tokens that are never acted on again, though a late read may name them
-  std::optional<Call> out_;
-  Time sent_{0};
+  bool rolled_back_ = false;
+  Revision highest_revision_ = 0;
+  std::map<Duty, OwnerRecord> owners_;
+  std::map<std::string, OwnerRecord> members_;
+  std::map<Duty, Time> owned_since_;  // duties owned by this member, and since when
+  // Tokens of released grants: never used again, even if a delayed read still contains them.
+  std::set<Revision> released_tokens_;
+  std::optional<Call> pending_;
+  Time sent_at_{0};
   std::uint64_t last_number_ = 0;
   int failures_ = 0;
-  double unit_ = 0.0;
+  double jitter_ = 0.0;
   Time not_before_{0};
-  Time due_{0};
+  Time next_due_{0};
 };
 
 }  // namespace bankmux::ownership
--- a/tests/ownership_model.hpp
+++ b/tests/ownership_model.hpp
@@ -1,5 +1,6 @@
-// An explicit-state model of ownership: the real Ownership and a store in memory, in every interleaving of
-// calls, lost and late and doubled ones, stops, wakes, expiries and acts that take their time, up to a depth.
+// Explicit-state model checker for Ownership: runs the production class against an in-memory store through
+// every interleaving, up to a depth, of calls (also lost, late and repeated ones), suspended and resumed
+// processes, lease expiries, and owner operations that take time to reach the store.
 #pragma once
 
 #include <xxhash.h>
@@ -19,39 +20,39 @@
   int members = 3;
   std::vector<ownership::Duty> duties{"a", "b"};
   int depth = 8;
-  std::size_t most_states = 2'000'000;
-  int faults = 1;  // calls or answers lost, late or doubled, along one path
-  int stops = 1;   // processes stopped, along one path
-  // Deliberate defects, one for each promise.
+  std::size_t max_states = 2'000'000;
+  int faults = 1;       // calls or answers that are lost, late or repeated, along one path
+  int suspensions = 1;  // suspended processes, along one path
+  // Deliberate defects: each one disables a guarantee that the model has to notice.
   bool fencing = true;
   int margin = 2;
-  bool from_answer = false;
+  bool lease_from_answer = false;
 };
 
 struct ModelReport {
   std::size_t states = 0;
-  int depth = 0;                         // reached in full
-  std::optional<std::string> violation;  // and the steps that led to it
+  int depth = 0;                         // fully explored
+  std::optional<std::string> violation;  // with the steps that led to it
 };
 
 class OwnershipModel {
  public:
-  explicit OwnershipModel(ModelSettings settings) : s_(std::move(settings)) {}
+  explicit OwnershipModel(ModelSettings settings) : settings_(std::move(settings)) {}
 
   ModelReport run() {
     ModelReport report;
-    std::deque<State> queue{prepared()};
+    std::deque<State> queue{initial_state()};
     std::unordered_set<std::uint64_t> seen;
     while (!queue.empty()) {
       const State state = std::move(queue.front());
       queue.pop_front();
       report.depth = int(state.path.size());
-      if (auto fault = check(state)) {
-        report.violation = *fault;
+      if (auto violation = check(state)) {
+        report.violation = *violation;
         for (const std::string& step : state.path) *report.violation += "\n  " + step;
         break;
       }
-      if (int(state.path.size()) >= s_.depth || seen.size() >= s_.most_states) continue;
+      if (int(state.path.size()) >= settings_.depth || seen.size() >= settings_.max_states) continue;
       for (State& next : steps(state)) {
         const std::string text = next.fingerprint();
         if (seen.insert(XXH3_64bits(text.data(), text.size())).second) queue.push_back(std::move(next));
@@ -63,116 +64,117 @@
 
  private:
   using Time = ownership::Time;
-  static constexpr Time kUnit{1};
-  static constexpr int kLease = 6;  // units
-  static constexpr int kLongestAct = 2;
+  static constexpr Time kTimeUnit{1};
+  static constexpr int kLeaseUnits = 6;  // units
+  static constexpr int kLongestOperation = 2;
 
   struct InFlight {
     ownership::Call call;
-    std::optional<ownership::Answer> answer;  // once the store has been
+    std::optional<ownership::Answer> answer;  // set once the store has handled the call
   };
-  struct Act {
+  struct Operation {
     std::string duty;
     coordination::Revision token = 0;
     Time begun{0};
-    bool in_time = false;  // its maker has not been stopped since: it takes no longer than the longest act
+    bool in_time = false;  // its member has not been suspended since: takes at most kLongestOperation
   };
   struct Member {
     ownership::Ownership self;
-    std::optional<ownership::Ownership> before;  // where time is counted from the answer
-    std::optional<InFlight> out;
-    std::optional<Act> act;
-    bool stopped = false;
+    std::optional<ownership::Ownership> before_call;  // with `lease_from_answer`: the state before the call
+    std::optional<InFlight> pending;
+    std::optional<Operation> operation;
+    bool suspended = false;
   };
   struct State {
     Time now{0};
-    Table store;
+    MemoryStore store;
     std::vector<Member> members;
-    std::map<std::string, coordination::Revision> landed;  // the newest token that acted, by duty
-    std::optional<std::string> fault;
-    int faults = 0, stops = 0;
+    std::map<std::string, coordination::Revision> applied_tokens;  // newest token that took effect, by duty
+    std::optional<std::string> violation;
+    int faults = 0, suspensions = 0;
     std::vector<std::string> path;
 
     [[nodiscard]] std::string fingerprint() const {
       std::string text = store.fingerprint(now);
       for (const Member& m : members) {
-        text += '|' + m.self.fingerprint(now) + (m.stopped ? 'S' : 'R');
-        if (m.out) text += m.out->answer ? 'a' : 'c';
-        if (m.act) {
-          text +=
-              m.act->duty + std::to_string(m.act->token) + '/' + std::to_string((now - m.act->begun).count());
-          text += m.act->in_time ? 't' : 'l';
+        text += '|' + m.self.fingerprint(now) + (m.suspended ? 'S' : 'R');
+        if (m.pending) text += m.pending->answer ? 'a' : 'c';
+        if (m.operation) {
+          text += m.operation->duty + std::to_string(m.operation->token) + '/' +
+                  std::to_string((now - m.operation->begun).count());
+          text += m.operation->in_time ? 't' : 'l';
         }
       }
-      for (const auto& [duty, token] : landed) text += duty + std::to_string(token);
-      return text + std::to_string(faults) + std::to_string(stops) + (fault ? *fault : "");
+      for (const auto& [duty, token] : applied_tokens) text += duty + std::to_string(token);
+      return text + std::to_string(faults) + std::to_string(suspensions) + (violation ? *violation : "");
     }
   };
 
-  static ownership::Answer ask(Table& store, Time now, const ownership::Call& call) {
+  static ownership::Answer send_to_store(MemoryStore& store, Time now, const ownership::Call& call) {
     using Kind = ownership::Call::Kind;
     ownership::Answer answer;
-    const auto of_lease = [&answer](const coordination::LeaseResult& r) {
-      answer.fault = r.fault;
+    const auto on_lease_result = [&answer](const coordination::LeaseResult& r) {
+      answer.failure = r.failure;
       answer.lease = r.lease;
       answer.revision = r.revision;
     };
     switch (call.kind) {
       case Kind::grant:
-        of_lease(store.grant(now, Time(kLease)));
+        on_lease_result(store.grant(now, Time(kLeaseUnits)));
         break;
       case Kind::keep_alive:
-        of_lease(store.keep_alive(now, call.lease));
+        on_lease_result(store.keep_alive(now, call.lease));
         break;
       case Kind::revoke:
-        of_lease(store.revoke(now, call.lease));
+        on_lease_result(store.revoke(now, call.lease));
         break;
       default: {
         const coordination::Result r = store.transact(now, call.transaction);
-        answer = {r.fault, r.applied, 0, r.revision, r.entries};
+        answer = {r.failure, r.applied, 0, r.revision, r.entries};
       }
     }
     return answer;
   }
 
-  // All have joined, and each duty has its owner.
-  [[nodiscard]] State prepared() const {
+  // Initial state: all members have joined, and each duty has an owner.
+  [[nodiscard]] State initial_state() const {
     State state;
-    for (int i = 0; i < s_.members; ++i) {
+    for (int i = 0; i < settings_.members; ++i) {
       ownership::Settings settings;
       settings.self = "m" + std::to_string(i);
       settings.incarnation = std::uint64_t(i + 1);
-      settings.duties = s_.duties;
-      settings.time_to_live = Time(kLease);
-      settings.margin = Time(s_.margin);
+      settings.duties = settings_.duties;
+      settings.time_to_live = Time(kLeaseUnits);
+      settings.margin = Time(settings_.margin);
       settings.drift = 0.0;
       settings.dwell = Time(1);
-      settings.first_wait = settings.most_wait = Time(1);
+      settings.initial_backoff = settings.max_backoff = Time(1);
       state.members.push_back({ownership::Ownership(settings), {}, {}, {}, false});
     }
     for (int round = 0; round < 14; ++round) {
       for (Member& m : state.members) {
-        m.self.changed();
-        while (const auto call = m.self.next(state.now, 0.0)) {
-          m.self.answered(state.now, call->number, ask(state.store, state.now, *call));
+        m.self.store_changed();
+        while (const auto call = m.self.next_call(state.now, 0.0)) {
+          m.self.handle_answer(state.now, call->number, send_to_store(state.store, state.now, *call));
         }
       }
-      if (round % 7 == 6) state.now += kUnit;
+      if (round % 7 == 6) state.now += kTimeUnit;
     }
     return state;
   }
 
-  // Two that may act at the same moment, or an act that lands after a newer one.
+  // Returns a violation: two members hold a grant at the same moment, or an operation took effect after one
+  // with a newer token.
   std::optional<std::string> check(const State& state) const {
-    if (state.fault) return state.fault;
-    for (const ownership::Duty& duty : s_.duties) {
+    if (state.violation) return state.violation;
+    for (const ownership::Duty& duty : settings_.duties) {
       std::string owners;
       for (const Member& m : state.members) {
-        const auto grant = m.stopped ? std::nullopt : m.self.grant(duty, state.now);
+        const auto grant = m.suspended ? std::nullopt : m.self.grant(duty, state.now);
         if (grant) owners += (owners.empty() ? "" : " and ") + std::to_string(grant->token());
       }
       if (owners.find(" and ") != std::string::npos)
-        return "two may act for " + duty + ", by tokens " + owners;
+        return "two members hold grants for " + duty + ", with tokens " + owners;
     }
     return std::nullopt;
   }
@@ -186,11 +188,12 @@
     };
     for (std::size_t i = 0; i < from.members.size(); ++i) member_steps(from, i, add);
     State later = from;
-    later.now += kUnit;
+    later.now += kTimeUnit;
     later.store.expire(later.now);
-    // An act whose maker was not stopped takes no longer than the longest act.
+    // An operation of a member that was not suspended takes at most kLongestOperation.
     for (Member& m : later.members) {
-      if (m.act && m.act->in_time && later.now - m.act->begun >= Time(kLongestAct)) land(later, m);
+      if (m.operation && m.operation->in_time && later.now - m.operation->begun >= Time(kLongestOperation))
+        apply_operation(later, m);
     }
     add(std::move(later), "time passes");
     return all;
@@ -200,108 +203,110 @@
   void member_steps(const State& from, std::size_t i, Add& add) const {
     const Member& was = from.members[i];
     const std::string name = "m" + std::to_string(i);
-    // A late answer arrives, or a call of which nobody hears any more.
-    if (was.out) {
+    // A late answer arrives, or a late call reaches the store.
+    if (was.pending) {
       State state = from;
       Member& m = state.members[i];
-      if (!m.out->answer) {
-        m.out->answer = ask(state.store, state.now, m.out->call);
+      if (!m.pending->answer) {
+        m.pending->answer = send_to_store(state.store, state.now, m.pending->call);
         add(std::move(state), name + "'s late call reaches the store");
-      } else if (!m.stopped) {
-        hear(m, state.now, m.out->call, *m.out->answer);
-        m.out.reset();
-        add(std::move(state), name + " hears a late answer");
+      } else if (!m.suspended) {
+        receive_answer(m, state.now, m.pending->call, *m.pending->answer);
+        m.pending.reset();
+        add(std::move(state), name + " receives a late answer");
       }
     }
-    // With word of a change, by which all is read again, or without.
-    if (!was.stopped && !was.out) {
-      for (const bool told : {false, true}) call_steps(from, i, told, add);
+    // With and without a change notification, which makes the member read all entries again.
+    if (!was.suspended && !was.pending) {
+      for (const bool notified : {false, true}) call_steps(from, i, notified, add);
     }
-    if (was.act) {
+    if (was.operation) {
       State state = from;
-      land(state, state.members[i]);
-      add(std::move(state), name + "'s act for " + was.act->duty + " lands");
-    } else if (!was.stopped) {
-      for (const ownership::Duty& duty : s_.duties) {
+      apply_operation(state, state.members[i]);
+      add(std::move(state), name + "'s operation for " + was.operation->duty + " takes effect");
+    } else if (!was.suspended) {
+      for (const ownership::Duty& duty : settings_.duties) {
         const auto grant = was.self.grant(duty, from.now);
         if (!grant) continue;
         State state = from;
-        state.members[i].act = Act{duty, grant->token(), from.now, true};
-        add(std::move(state), name + " begins to act for " + duty);
+        state.members[i].operation = Operation{duty, grant->token(), from.now, true};
+        add(std::move(state), name + " begins an operation for " + duty);
       }
     }
-    if (was.stopped || from.stops < s_.stops) {
+    if (was.suspended || from.suspensions < settings_.suspensions) {
       State state = from;
       Member& m = state.members[i];
-      m.stopped = !m.stopped;
-      if (m.stopped) ++state.stops;
-      if (m.act) m.act->in_time = false;
-      add(std::move(state), name + (m.stopped ? " is stopped" : " wakes up"));
+      m.suspended = !m.suspended;
+      if (m.suspended) ++state.suspensions;
+      if (m.operation) m.operation->in_time = false;
+      add(std::move(state), name + (m.suspended ? " is suspended" : " resumes"));
     }
   }
 
   template <typename Add>
-  void call_steps(const State& from, std::size_t i, bool told, Add& add) const {
-    State asked = from;
-    Member& m = asked.members[i];
+  void call_steps(const State& from, std::size_t i, bool notified, Add& add) const {
+    State after_call = from;
+    Member& m = after_call.members[i];
     const ownership::Ownership before = m.self;
-    if (told) m.self.changed();
-    const auto call = m.self.next(asked.now, 0.0);
+    if (notified) m.self.store_changed();
+    const auto call = m.self.next_call(after_call.now, 0.0);
     if (!call) return;
-    if (s_.from_answer) m.before = before;
-    const std::string what = "m" + std::to_string(i) + " calls (" + std::to_string(int(call->kind)) + ")";
-    State heard = asked;
-    hear(heard.members[i], heard.now, *call, ask(heard.store, heard.now, *call));
-    add(std::move(heard), what);
-    if (from.faults >= s_.faults) return;
-    ++asked.faults;
-    State lost = asked, late = asked, doubled = asked;
-    (void)ask(lost.store, lost.now, *call);
-    add(std::move(lost), what + ", done, and the answer is lost");
-    late.members[i].out = InFlight{*call, std::nullopt};
-    add(std::move(late), what + ", which is on its way for long");
-    const auto answer = ask(doubled.store, doubled.now, *call);
-    doubled.members[i].out = InFlight{*call, std::nullopt};  // the second of it
-    hear(doubled.members[i], doubled.now, *call, answer);
-    add(std::move(doubled), what + ", and once more later");
+    if (settings_.lease_from_answer) m.before_call = before;
+    const std::string step = "m" + std::to_string(i) + " calls (" + std::to_string(int(call->kind)) + ")";
+    State answered = after_call;
+    receive_answer(answered.members[i], answered.now, *call,
+                   send_to_store(answered.store, answered.now, *call));
+    add(std::move(answered), step);
+    if (from.faults >= settings_.faults) return;
+    ++after_call.faults;
+    State lost = after_call, late = after_call, repeated = after_call;
+    (void)send_to_store(lost.store, lost.now, *call);
+    add(std::move(lost), step + ", applied, and the answer is lost");
+    late.members[i].pending = InFlight{*call, std::nullopt};
+    add(std::move(late), step + ", which is delayed");
+    const auto answer = send_to_store(repeated.store, repeated.now, *call);
+    repeated.members[i].pending = InFlight{*call, std::nullopt};  // the repeated call
+    receive_answer(repeated.members[i], repeated.now, *call, answer);
+    add(std::move(repeated), step + ", and again later");
   }
 
-  void hear(Member& m, Time now, const ownership::Call& call, const ownership::Answer& answer) const {
-    if (m.before) {
-      // The defect: as if the call had been sent when its answer came.
-      m.self = *m.before;
-      m.before.reset();
-      if (const auto again = m.self.next(now, 0.0)) m.self.answered(now, again->number, answer);
+  void receive_answer(Member& m, Time now, const ownership::Call& call,
+                      const ownership::Answer& answer) const {
+    if (m.before_call) {
+      // The defect: behaves as if the call had been sent when its answer arrived.
+      m.self = *m.before_call;
+      m.before_call.reset();
+      if (const auto again = m.self.next_call(now, 0.0)) m.self.handle_answer(now, again->number, answer);
       return;
     }
-    m.self.answered(now, call.number, answer);
+    m.self.handle_answer(now, call.number, answer);
   }
 
-  // At the store, by the token; without fencing, at a box that knows no token.
-  void land(State& state, Member& m) const {
-    const Act act = *m.act;
-    m.act.reset();
+  // Lets an operation take effect. With fencing the store checks its token; without it nothing does.
+  void apply_operation(State& state, Member& m) const {
+    const Operation operation = *m.operation;
+    m.operation.reset();
     bool takes_effect = true;
-    if (s_.fencing && !act.in_time) {
-      // What its maker was stopped in may come at any time: only the token holds it.
-      coordination::Transaction write{{{"duty/" + act.duty, act.token}}, {}, {}};
+    if (settings_.fencing && !operation.in_time) {
+      // An operation that was interrupted by a suspension may arrive at any time; only its token can stop it.
+      coordination::Transaction write{{{"duty/" + operation.duty, operation.token}}, {}, {}};
       takes_effect = state.store.transact(state.now, write).applied;
     }
     if (!takes_effect) return;
-    coordination::Revision& newest = state.landed[act.duty];
-    // Whoever holds a newer grant may rely on it from the moment that the store gave it.
+    coordination::Revision& newest = state.applied_tokens[operation.duty];
+    // A member with a newer grant may rely on it from the moment that the store issued it.
     for (const Member& other : state.members) {
-      const auto grant = other.stopped ? std::nullopt : other.self.grant(act.duty, state.now);
-      if (grant && grant->token() > act.token) newest = std::max(newest, grant->token());
+      const auto grant = other.suspended ? std::nullopt : other.self.grant(operation.duty, state.now);
+      if (grant && grant->token() > operation.token) newest = std::max(newest, grant->token());
     }
-    if (act.token < newest) {
-      state.fault = "an act by token " + std::to_string(act.token) + " lands after one may act by " +
-                    std::to_string(newest);
+    if (operation.token < newest) {
+      state.violation = "an operation with token " + std::to_string(operation.token) +
+                        " takes effect after a grant with token " + std::to_string(newest);
     }
-    newest = std::max(newest, act.token);
+    newest = std::max(newest, operation.token);
   }
 
-  ModelSettings s_;
+  ModelSettings settings_;
 };
 
 }  // namespace bankmux::test
