--- a/bench/duty_bench.cpp
+++ b/bench/duty_bench.cpp
@@ -1,7 +1,7 @@
-// What sharing duties costs and how long a duty is nobody's, with real processes over one store:
+// Cost of sharing duties, and how long a duty has no owner, with real processes over one coordination store:
 //   duty_bench MEMBERS [ROUNDS] [LEASE_S]
-// Kills, stops and ends the owner in turn, ROUNDS times each, and prints the time until another may act
-// (least, middle, most), the calls to the store and the questions to boxes a second.
+// Kills, suspends and shuts down the owner in turn, ROUNDS times each. Prints the time until another member
+// holds the grant (least, middle, most), and the store calls and health checks of instances per second.
 #include <algorithm>
 #include <chrono>
 #include <csignal>
@@ -20,7 +20,7 @@
   return std::chrono::duration<double>(Clock::now() - begun).count();
 }
 
-std::uint64_t calls(fleet::Fleet& fleet) {
+std::uint64_t store_calls(fleet::Fleet& fleet) {
   std::uint64_t all = 0;
   for (int i = 0; i < fleet.size(); ++i) all += fleet.duties(i).value("store_calls", 0ULL);
   return all;
@@ -44,28 +44,28 @@
     return 2;
   }
   fleet::Fleet fleet(members, lease);
-  if (fleet.settled() < 0) return 1;
+  if (fleet.wait_for_owner() < 0) return 1;
   std::this_thread::sleep_for(2s);
   const auto begun = Clock::now();
-  const std::uint64_t calls_before = calls(fleet);
-  const int asked_before = fleet.asked();
+  const std::uint64_t store_calls_before = store_calls(fleet);
+  const int health_checks_before = fleet.health_checks();
   std::this_thread::sleep_for(5s);
   const double time = seconds_since(begun);
   std::printf(
       "%d members: %.1f calls to the store a second, %.1f questions to two boxes a second (alone each: "
       "%.1f)\n",
-      members, double(calls(fleet) - calls_before) / time, double(fleet.asked() - asked_before) / time,
-      members * 2 / 0.2);
+      members, double(store_calls(fleet) - store_calls_before) / time,
+      double(fleet.health_checks() - health_checks_before) / time, members * 2 / 0.2);
   std::vector<double> killed, stopped, ended;
   for (int round = 0; round < rounds; ++round) {
     for (std::vector<double>* times : {&killed, &stopped, &ended}) {
-      const int owner = fleet.settled();
+      const int owner = fleet.wait_for_owner();
       if (owner < 0) return 1;
       const auto from = Clock::now();
       if (times == &killed) fleet.kill(owner);
       if (times == &stopped) fleet.signal(owner, SIGSTOP);
       if (times == &ended) fleet.signal(owner, SIGTERM);
-      if (fleet.settled(owner, 60'000, {owner}) < 0) return 1;
+      if (fleet.wait_for_owner(owner, 60'000, {owner}) < 0) return 1;
       times->push_back(seconds_since(from));
       if (times == &stopped) {
         fleet.signal(owner, SIGCONT);
@@ -80,6 +80,6 @@
   print("killed", killed, lease);
   print("stopped", stopped, lease);
   print("ended in order", ended, lease);
-  for (const std::string& fault : fleet.faults()) std::printf("fault: %s\n", fault.c_str());
-  return fleet.faults().empty() ? 0 : 1;
+  for (const std::string& violation : fleet.violations()) std::printf("fault: %s\n", violation.c_str());
+  return fleet.violations().empty() ? 0 : 1;
 }
--- a/tests/fleet/fleet_rig.cpp
+++ b/tests/fleet/fleet_rig.cpp
@@ -18,13 +18,13 @@
   folder = name;
   store = folder + "/bankmux-fleet.db";
   for (int i = 0; i < 2; ++i) {
-    boxes_.push_back(std::make_unique<Peer>([this](Wire& wire) {
+    instances_.push_back(std::make_unique<Peer>([this](Wire& wire) {
       while (const auto request = wire.receive()) {
         if (request->first.starts_with("GET /v1/models")) {
-          asked_.add("asked");
+          health_checks_.add("asked");
           wire.send(simple("200 OK", "{\"object\":\"list\",\"data\":[]}"));
         } else {
-          seen_.add("request");
+          requests_.add("request");
           wire.send(events(
               {"{\"choices\":[{\"index\":0,\"delta\":{\"content\":\"a\"},\"finish_reason\":\"stop\"}]}",
                "[DONE]"}));
@@ -37,7 +37,7 @@
 }
 
 Fleet::~Fleet() {
-  // One that is stopped would not hear SIGTERM; each is killed by its owner in any case.
+  // A suspended process would not handle SIGTERM, so all are killed.
   for (auto& member : members_) {
     if (member) member->program().send_signal(SIGKILL);
   }
@@ -50,7 +50,7 @@
       {"check_every_s", 0.2},
       {"coordination", {{"folder", folder}, {"member", "m" + std::to_string(i)}, {"lease_s", lease_s_}}}};
   members_[std::size_t(i)] = std::make_unique<Appliance>(
-      std::vector<std::string>{boxes_[0]->address(), boxes_[1]->address()}, changes);
+      std::vector<std::string>{instances_[0]->address(), instances_[1]->address()}, changes);
 }
 
 void Fleet::kill(int i) {
@@ -60,37 +60,38 @@
 }
 
 json Fleet::duties(int i) {
-  if (!runs(i)) return json::object();
+  if (!is_running(i)) return json::object();
   const std::string text = member(i).page("GET", "/-/duties");
   if (!text.starts_with("HTTP/1.1 200")) return json::object();
   json all = json::parse(text.substr(text.find("\r\n\r\n") + 4), nullptr, false);
   if (!all.is_object()) return json::object();
-  note(i, all);
+  check_page(i, all);
   return all;
 }
 
-void Fleet::note(int i, const json& duties) {
+void Fleet::check_page(int i, const json& duties) {
   for (const json& row : duties.at("duties")) {
     if (!row.contains("token") || row.at("owner").is_null()) continue;
     const std::uint64_t token = row.at("token");
     const std::string owner = row.at("owner");
-    const auto [known, fresh] = owner_of_.try_emplace(token, owner);
-    if (!fresh && known->second != owner) {
-      faults_.push_back("token " + std::to_string(token) + " is " + known->second + "'s and " + owner + "'s");
+    const auto [owner_entry, inserted] = owner_by_token_.try_emplace(token, owner);
+    if (!inserted && owner_entry->second != owner) {
+      violations_.push_back("token " + std::to_string(token) + " has the owners " + owner_entry->second +
+                            " and " + owner + ", but a token has one owner");
     }
-    // A member may not have heard of the newest yet, but then it may not act by the old one.
-    if (token < newest_ && row.at("here").get<bool>()) {
-      faults_.push_back("m" + std::to_string(i) + " may act by token " + std::to_string(token) + " after " +
-                        std::to_string(newest_));
+    // A member may not have read the newest token yet, but then it must not hold a grant for the old one.
+    if (token < newest_token_ && row.at("here").get<bool>()) {
+      violations_.push_back("m" + std::to_string(i) + " holds a grant with token " + std::to_string(token) +
+                            " after " + std::to_string(newest_token_));
     }
-    newest_ = std::max(newest_, token);
+    newest_token_ = std::max(newest_token_, token);
   }
 }
 
-std::vector<int> Fleet::owners(const std::set<int>& without) {
+std::vector<int> Fleet::owners(const std::set<int>& excluded) {
   std::vector<int> all;
   for (int i = 0; i < size(); ++i) {
-    if (without.contains(i)) continue;
+    if (excluded.contains(i)) continue;
     const json page = duties(i);
     if (page.empty()) continue;
     for (const json& row : page.at("duties")) {
@@ -100,24 +101,25 @@
   return all;
 }
 
-int Fleet::settled(int not_this, int ms, const std::set<int>& without) {
-  const auto end = Clock::now() + std::chrono::milliseconds(ms);
+int Fleet::wait_for_owner(int other_than, int timeout_ms, const std::set<int>& excluded) {
+  const auto end = Clock::now() + std::chrono::milliseconds(timeout_ms);
   while (Clock::now() < end) {
-    const std::vector<int> now = owners(without);
-    if (now.size() == 1 && now[0] != not_this) return now[0];
+    const std::vector<int> now = owners(excluded);
+    if (now.size() == 1 && now[0] != other_than) return now[0];
     std::this_thread::sleep_for(20ms);
   }
   return -1;
 }
 
-void Fleet::watch(int ms, const std::set<int>& without) {
-  const auto end = Clock::now() + std::chrono::milliseconds(ms);
+void Fleet::observe(int timeout_ms, const std::set<int>& excluded) {
+  const auto end = Clock::now() + std::chrono::milliseconds(timeout_ms);
   while (Clock::now() < end) {
-    const std::vector<int> first = owners(without);
-    // Asked one after the other, two may each say yes in turn. Two that say so before and after do at once.
+    const std::vector<int> first = owners(excluded);
+    // The members are queried one after the other, so that a handover may show two owners. A second round
+    // that also shows two confirms it.
     if (first.size() > 1) {
-      const std::vector<int> again = owners(without);
-      if (again.size() > 1) faults_.push_back("two owners at once");
+      const std::vector<int> again = owners(excluded);
+      if (again.size() > 1) violations_.push_back("two owners at once");
     }
     std::this_thread::sleep_for(10ms);
   }
--- a/tests/fleet/fleet_rig.hpp
+++ b/tests/fleet/fleet_rig.hpp
@@ -1,6 +1,6 @@
-// A fleet on one machine for tests: real processes of the program over one store, with stand-in boxes; they
-// can be killed, stopped, woken and started again. What each has said of its duties, in its log and on its
-// page, is one history, and a checker reads it.
+// Test fixture for a fleet on one machine: real processes of the program over one coordination store, with
+// simulated instances. The processes can be killed, suspended, resumed and restarted. Every read of a
+// process's duties page is checked against the ownership rules.
 #pragma once
 
 #include <filesystem>
@@ -24,40 +24,42 @@
   Fleet(const Fleet&) = delete;
   Fleet& operator=(const Fleet&) = delete;
 
-  // Starts member `i`, again where it has run before; under the same name.
+  // Starts or restarts member `i`, always under the same name.
   void start(int i);
   void kill(int i);  // with SIGKILL
   void signal(int i, int number) { member(i).program().send_signal(number); }
-  [[nodiscard]] bool runs(int i) const { return members_[std::size_t(i)] != nullptr; }
+  [[nodiscard]] bool is_running(int i) const { return members_[std::size_t(i)] != nullptr; }
   [[nodiscard]] stories::Appliance& member(int i) { return *members_[std::size_t(i)]; }
   [[nodiscard]] int size() const { return int(members_.size()); }
 
-  // What that member's page says; an empty object where it does not answer.
+  // The member's duties page; an empty object if the member does not answer.
   json duties(int i);
-  // The members that may act for the prober's duty at this moment, of those that answer.
-  std::vector<int> owners(const std::set<int>& without = {});
-  // Waits until there is exactly one, other than `not_this`; -1: there was none in time.
-  int settled(int not_this = -1, int ms = 10'000, const std::set<int>& without = {});
-  // Looks again and again; more than one owner at once, or a token that went back, is a fault.
-  void watch(int ms, const std::set<int>& without = {});
-  [[nodiscard]] const std::vector<std::string>& faults() const { return faults_; }
-  [[nodiscard]] std::uint64_t newest_token() const { return newest_; }
-  // Questions that the boxes have had so far, and requests.
-  [[nodiscard]] int asked() { return asked_.count("asked"); }
-  // One request to a member; its status.
+  // The members, among those that answer, that hold a grant for the prober's duty at this moment.
+  std::vector<int> owners(const std::set<int>& excluded = {});
+  // Waits until there is exactly one owner, which is not `other_than`, and returns it; -1 if there is none in
+  // time.
+  int wait_for_owner(int other_than = -1, int timeout_ms = 10'000, const std::set<int>& excluded = {});
+  // Polls the owners for `timeout_ms` milliseconds. More than one owner at once is recorded as a violation,
+  // and so is a grant with an outdated token.
+  void observe(int timeout_ms, const std::set<int>& excluded = {});
+  [[nodiscard]] const std::vector<std::string>& violations() const { return violations_; }
+  [[nodiscard]] std::uint64_t newest_token() const { return newest_token_; }
+  // Number of health checks that the instances have received so far.
+  [[nodiscard]] int health_checks() { return health_checks_.count("asked"); }
+  // Sends one request to a member and returns the status of the response.
   int chat(int i);
 
   std::string folder, store;
 
  private:
-  void note(int i, const json& duties);
-  stories::Record asked_, seen_;
-  std::vector<std::unique_ptr<stories::Peer>> boxes_;
+  void check_page(int i, const json& duties);
+  stories::Record health_checks_, requests_;
+  std::vector<std::unique_ptr<stories::Peer>> instances_;
   std::vector<std::unique_ptr<stories::Appliance>> members_;
   double lease_s_;
-  std::uint64_t newest_ = 0;
-  std::map<std::uint64_t, std::string> owner_of_;  // by token: for ever one
-  std::vector<std::string> faults_;
+  std::uint64_t newest_token_ = 0;
+  std::map<std::uint64_t, std::string> owner_by_token_;  // a token never changes its owner
+  std::vector<std::string> violations_;
 };
 
 }  // namespace fleet
