--- a/tests/faults/held_release_test.cpp
+++ b/tests/faults/held_release_test.cpp
@@ -1,5 +1,6 @@
-// What is held for a request is released in time, whatever its attempts were written into: incident 41. The
-// program, its discovery and the servers are joined by sockets with a relay in front of each server.
+// Held KV caches and reservations of a request are released in time even if the connections that its attempts
+// used pass no data (incident 41). The program, its discovery and the simulated servers are connected by
+// sockets, with a relay in front of each server.
 #include <algorithm>
 #include <catch2/catch.hpp>
 #include <chrono>
@@ -13,9 +14,9 @@
 
 namespace {
 
-constexpr int kClientWaitMs = 2500;  // long past the time in which what is held has to be released
+constexpr int kClientWaitMs = 2500;  // much longer than the time limit for releases
 const RuleLimits kLimits;
-// After which an idle connection carries another request.
+// Time after which an idle connection is reused for another request.
 constexpr std::chrono::milliseconds kQuarantine{60};
 
 struct World {
@@ -24,7 +25,7 @@
   explicit World(Pace pace = {}, const nlohmann::json& settings = stories::site_settings())
       : servers(2, 3, pace), platform(servers.listed(), settings) {}
 
-  // Leaves idle connections to every server.
+  // Opens connections to every server, which stay idle afterwards.
   void warm_up() {
     std::vector<std::unique_ptr<stories::Wire>> clients;
     for (int i = 0; i < 12; ++i) {
@@ -49,11 +50,11 @@
 
 }  // namespace
 
-TEST_CASE("Faults: what a prefill instance holds is released in time while decode instances are silent") {
+TEST_CASE("Faults: a held KV cache is released in time while decode instances are silent") {
   const auto [dials, name] = GENERATE(table<Relay::Dials, const char*>({
-      {Relay::Dials::pass, "only open connections"},
-      {Relay::Dials::swallow, "new connections too"},
-      {Relay::Dials::queue, "new connections stay in the kernel's queue"},
+      {Relay::Dials::pass, "only open connections are silent"},
+      {Relay::Dials::swallow, "new connections are silent too"},
+      {Relay::Dials::queue, "new connections stay in the kernel's accept queue"},
   }));
   const std::string request_class = GENERATE("consulta", "ajuste");
   INFO(name << ", " << request_class);
@@ -67,7 +68,7 @@
   world.check_held("silent");
 }
 
-TEST_CASE("Faults: a release reaches a running server while all idle connections are silent") {
+TEST_CASE("Faults: a release reaches a working server while all idle connections are silent") {
   const std::string request_class = GENERATE("consulta", "ajuste");
   INFO(request_class);
   World world;
@@ -81,8 +82,8 @@
   world.check_held("silent");
 }
 
-TEST_CASE("Faults: a reservation is released in time while its prefill never arrives") {
-  // Prefills that take most of the time to the class's aim, so that a place is asked for ahead.
+TEST_CASE("Faults: a reservation is released in time while its prefill does not arrive") {
+  // Prefills take most of the class's target time, so that decode capacity is reserved before they end.
   nlohmann::json settings = stories::site_settings();
   settings["categories"][0]["targetS"] = 0.8;
   World world({.prefill_least = 300, .prefill_most = 300}, settings);
--- a/tests/faults/history.cpp
+++ b/tests/faults/history.cpp
@@ -16,18 +16,18 @@
                                             {Kind::client_left, "client left"},
                                             {Kind::client_answered, "client answered"},
                                             {Kind::client_unserved, "client unserved"},
-                                            {Kind::attempt_taken, "attempt taken"},
+                                            {Kind::attempt_taken, "attempt received"},
                                             {Kind::attempt_ended, "attempt ended"},
                                             {Kind::cache_held, "cache held"},
-                                            {Kind::place_held, "place held"},
+                                            {Kind::place_held, "reservation held"},
                                             {Kind::released, "released"},
                                             {Kind::server_silenced, "server silenced"},
-                                            {Kind::server_healed, "server healed"},
+                                            {Kind::server_healed, "server restored"},
                                             {Kind::server_reset, "server reset"},
-                                            {Kind::drain_told, "drain told"},
-                                            {Kind::serving_told, "serving told"}};
+                                            {Kind::drain_told, "drain announced"},
+                                            {Kind::serving_told, "serving announced"}};
 
-// When servers were cut off, and when connections to them broke.
+// When connections to servers were silenced or reset.
 class Disturbances {
  public:
   explicit Disturbances(const std::vector<HistoryEvent>& events) {
@@ -37,8 +37,8 @@
       if (event.kind == Kind::server_reset) resets_[event.server].push_back(event.at);
     }
   }
-  // When a word that the server said at that time can have been heard of: at once, or, where it fell into
-  // silence, as its connection broke.
+  // When the conductor can have learnt of a response that the server sent at that time: at once, or, if its
+  // connection was silent, when the connection was reset.
   [[nodiscard]] double heard(const std::string& server, double at) const {
     const auto windows = silent_.find(server);
     if (windows == silent_.end()) return at;
@@ -47,7 +47,7 @@
     }
     return at;
   }
-  // Whether a connection to it that was in use in that time has been silenced or reset.
+  // Whether a connection to the server that was in use in that time was silenced or reset.
   [[nodiscard]] bool disturbed(const std::string& server, double from, double to) const {
     const auto windows = silent_.find(server);
     const auto resets = resets_.find(server);
@@ -62,28 +62,30 @@
 
  private:
   static constexpr double kNever = 1e9;
-  static constexpr double kCloseTogether = 0.03;  // the order in which such events are noted says little
+  static constexpr double kCloseTogether = 0.03;  // events this close may be recorded in either order
   std::map<std::string, std::vector<std::pair<double, double>>> silent_;
   std::map<std::string, std::vector<double>> resets_;
 };
 
-// Follows one request's events: since when something is held for it while no attempt of it is out.
+// Follows one request's events and measures how long a cache or reservation is held for it while none of its
+// attempts is in progress.
 class HeldClock {
  public:
   explicit HeldClock(const Disturbances& disturbances) : disturbances_(disturbances) {}
-  // Takes the next event; returns how long what was held had waited until then.
+  // Processes the next event. Returns how long the held resource had been waiting until then.
   double next(const HistoryEvent& event) {
     const double waited = running(event.at);
     switch (event.kind) {
       case Kind::cache_held:
       case Kind::place_held:
         held_ = true;
-        // A prefill whose answer is swallowed is out, for all that its conductor can tell.
+        // While the answer of a prefill is withheld, its conductor sees the attempt as in progress.
         since_ = event.kind == Kind::cache_held ? disturbances_.heard(event.server, event.at) : event.at;
         break;
       case Kind::attempt_taken:
         ++out_;
-        // A decode instance takes what is held; while a prefill is out the clock rests.
+        // A decode instance takes over the held cache; while a prefill is in progress the time does not
+        // count.
         if (event.detail == "decode") held_ = false;
         break;
       case Kind::attempt_ended:
@@ -98,7 +100,7 @@
     }
     return waited;
   }
-  // How long it has waited by then, where it still does.
+  // How long the held resource has been waiting at `now`; 0 if nothing waits.
   [[nodiscard]] double running(double now) const { return held_ && out_ == 0 ? now - since_ : 0.0; }
 
  private:
@@ -131,14 +133,15 @@
     check_attempts(events);
   }
   void check_drains(const std::vector<HistoryEvent>& events) {
-    std::map<std::string, double> told;
+    std::map<std::string, double> draining_since;
     for (const HistoryEvent& event : events) {
-      if (event.kind == Kind::drain_told) told.emplace(event.server, event.at);
-      if (event.kind == Kind::serving_told) told.erase(event.server);
-      if (event.kind != Kind::attempt_taken || !told.contains(event.server)) continue;
-      const double after = event.at - told.at(event.server);
+      if (event.kind == Kind::drain_told) draining_since.emplace(event.server, event.at);
+      if (event.kind == Kind::serving_told) draining_since.erase(event.server);
+      if (event.kind != Kind::attempt_taken || !draining_since.contains(event.server)) continue;
+      const double after = event.at - draining_since.at(event.server);
       id_ = event.id;
-      if (after > limits_.drain_grace + limits_.transit) breach("drain", "sent after the grace", after);
+      if (after > limits_.drain_grace + limits_.transit)
+        breach("drain", "attempt sent after the drain grace", after);
     }
   }
   [[nodiscard]] std::vector<std::string> found() const { return found_; }
@@ -154,7 +157,8 @@
     double worst = 0.0;
     for (const HistoryEvent& event : events) worst = std::max(worst, clock.next(event));
     worst = std::max(worst, clock.running(until_));
-    if (worst > limits_.held) breach("held", "neither taken nor released in time", worst);
+    if (worst > limits_.held)
+      breach("held", "held cache or reservation neither used nor released in time", worst);
   }
   void check_answer(const std::vector<HistoryEvent>& events) {
     std::optional<HistoryEvent> sent;
@@ -164,9 +168,9 @@
       if (event.kind == Kind::client_sent) sent = event;
       excused |= event.kind == Kind::client_left;
       if (event.kind == Kind::client_unserved) {
-        excused = true;  // it has a breach of its own
+        excused = true;  // reported as a violation of its own
         if (event.detail == kBrokenStream && cut_by_trouble(events, event.at)) continue;
-        breach("lost", "its connection ended without an answer: " + event.detail, event.at - sent->at);
+        breach("lost", "connection ended without an answer: " + event.detail, event.at - sent->at);
       }
       if (event.kind != Kind::client_answered) continue;
       ++answers;
@@ -179,7 +183,7 @@
       breach("lost", "never answered", until_ - sent->at);
     }
   }
-  // A class that must not be repeated runs once at most.
+  // A request of a class that must not be repeated runs at most once.
   void check_executions(const std::vector<HistoryEvent>& events) {
     int runs = 0;
     bool safe = false;
@@ -191,24 +195,25 @@
     if (!safe && runs > 1) breach("duplicate", "executed more than once", runs);
   }
   void check_attempts(const std::vector<HistoryEvent>& events) {
-    std::optional<double> left;
+    std::optional<double> left_at;
     std::optional<HistoryEvent> sent;
     for (const HistoryEvent& event : events) {
       if (event.kind == Kind::client_sent) sent = event;
-      if (event.kind == Kind::client_left) left = event.at;
+      if (event.kind == Kind::client_left) left_at = event.at;
       if (event.kind != Kind::attempt_taken) continue;
-      if (left && event.at > *left + limits_.after_leaving + limits_.transit) {
-        breach("lost", "an attempt began after its client had left", event.at - *left);
+      if (left_at && event.at > *left_at + limits_.after_leaving + limits_.transit) {
+        breach("lost", "attempt began after its client had left", event.at - *left_at);
       }
       if (!sent) continue;
-      const double rest = sent->at + sent->number - event.at;
-      if (event.number > rest + limits_.told_slack + limits_.transit) {
-        breach("told", "more time than its client has left", event.number - rest);
+      const double remaining = sent->at + sent->number - event.at;
+      if (event.number > remaining + limits_.told_slack + limits_.transit) {
+        breach("deadline", "attempt states more time than its client has left", event.number - remaining);
       }
     }
   }
 
-  // Whether the stream of its last decode attempt was cut by trouble at the server: then its end is no loss.
+  // Whether a fault at the server interrupted the stream of the last decode attempt. Such an end is not a
+  // lost request.
   [[nodiscard]] bool cut_by_trouble(const std::vector<HistoryEvent>& events, double until) const {
     const auto taken = std::find_if(events.rbegin(), events.rend(), [](const HistoryEvent& event) {
       return event.kind == Kind::attempt_taken && event.detail == "decode";
--- a/tests/faults/history.hpp
+++ b/tests/faults/history.hpp
@@ -1,4 +1,5 @@
-// What the processes and peers of a fault test did, on one clock, and the rules that must hold over it.
+// History of a fault test: the events of its clients, servers and injected faults on one clock, and the rules
+// that a history must satisfy.
 #pragma once
 
 #include <chrono>
@@ -14,20 +15,21 @@
 
 struct HistoryEvent {
   enum class Kind {
-    client_sent,  // the last byte of a request is written; detail: class, number: client's wait in seconds
-    client_left,  // the client closed its connection before its answer was whole
-    client_answered,  // a final answer; number: its status
-    client_unserved,  // the connection ended without an answer
-    attempt_taken,    // a server has read an attempt whole; number: the time it was told, in seconds
-    attempt_ended,    // a server has ended it; detail: how
-    cache_held,       // a prefill instance holds the KV cache of a prompt
-    place_held,       // a decode instance holds a reservation
-    released,         // a server has read a release
-    server_silenced,  // connections to it have fallen silent; id is empty
-    server_healed,    // and were reset, new ones work
-    server_reset,     // its open connections were reset
-    drain_told,       // discovery has told that the server drains; id is empty
-    serving_told      // and that it serves again
+    client_sent,  // a client wrote the last byte of a request; detail: class; number: seconds that it waits
+    client_left,  // a client closed its connection before its answer was complete
+    client_answered,  // a client received a final answer; number: its status
+    client_unserved,  // a client's connection ended without a complete answer
+    attempt_taken,    // a server received a complete attempt; number: the remaining time that it states, in
+                      // seconds
+    attempt_ended,    // a server ended an attempt; detail: how
+    cache_held,       // a prefill instance began to hold the KV cache of a prompt
+    place_held,       // a decode instance began to hold a reservation
+    released,         // a server received a release
+    server_silenced,  // connections to a server pass no more data; id is empty
+    server_healed,    // the silent connections were reset, and new ones work
+    server_reset,     // the open connections of a server were reset
+    drain_told,       // discovery announced that a server drains; id is empty
+    serving_told      // discovery announced that a server serves again; id is empty
   };
   double at = 0.0;
   Kind kind = Kind::client_sent;
@@ -37,7 +39,7 @@
   double number = 0.0;
 };
 
-// Detail of a client that was cut off within its answer.
+// Detail of client_unserved if the connection ended within the answer.
 inline const std::string kBrokenStream = "broken within its answer";
 
 class History {
@@ -45,7 +47,8 @@
   void add(HistoryEvent::Kind kind, const std::string& id, const std::string& server = "",
            const std::string& detail = "", double number = 0.0);
   [[nodiscard]] std::vector<HistoryEvent> events() const;
-  // Whether a server has taken an attempt of that request. Cheap: all that a run does goes through here.
+  // Whether a server has received an attempt of that request. Uses an index, since every client of a run
+  // calls it.
   [[nodiscard]] bool forwarded(const std::string& id) const;
 
  private:
@@ -54,20 +57,21 @@
   std::unordered_set<std::string> forwarded_;
 };
 
-// The bounds that the rules set; seconds.
+// Time limits of the rules, in seconds.
 struct RuleLimits {
-  double held = 0.6;  // a held cache or place may stay untaken: the release time of the settings + 0.3
-  double answer_slack = 0.5;   // a final answer past the client's wait is still no loss
-  double after_leaving = 0.1;  // an attempt may begin after its client has closed
-  double told_slack = 0.15;    // beyond the client's rest
-  double drain_grace = 1.0;
-  double transit = 0.05;  // on loopback, with busy processors
+  double held =
+      0.6;  // longest time a held cache or reservation may stay unused: release time of the settings + 0.3
+  double answer_slack = 0.5;   // a final answer may come this long after the client's wait
+  double after_leaving = 0.1;  // an attempt may begin this long after its client has disconnected
+  double told_slack = 0.15;    // an attempt may state this much more than the client's remaining time
+  double drain_grace = 1.0;    // attempts may still be sent this long after a drain is announced
+  double transit = 0.05;       // delivery time on loopback with busy processors
 };
 
-// How long something was held for that request while no attempt of it was out, at most.
+// Longest time that a cache or reservation was held for a request while none of its attempts was in progress.
 double longest_held(const std::vector<HistoryEvent>& events, const std::string& id);
 
-// One line for each breach of a rule; empty where all hold. `until`: the end of the run.
+// Checks all rules. Returns one line per violation; empty if all rules hold. `until`: the end of the run.
 std::vector<std::string> breaches(const std::vector<HistoryEvent>& events, const RuleLimits& limits,
                                   double until);
 
--- a/tests/faults/relay.cpp
+++ b/tests/faults/relay.cpp
@@ -17,7 +17,7 @@
 
 namespace {
 
-constexpr int kLookEvery = 5;  // milliseconds until a change of mode counts at the latest
+constexpr int kLookEvery = 5;  // milliseconds: longest delay until a change of mode takes effect
 
 sockaddr_in loopback(int port) {
   sockaddr_in address{};
@@ -154,7 +154,7 @@
     }
     poll(ready.data(), ready.size(), kLookEvery);
     const std::lock_guard lock(mutex_);
-    // A relay that is slower than the peers would be a fault of its own.
+    // A set keeps the lookup fast: a relay slower than the peers would itself disturb the test.
     std::unordered_set<int> told;
     for (const pollfd& entry : ready) {
       if (entry.revents != 0) told.insert(entry.fd);
--- a/tests/faults/relay.hpp
+++ b/tests/faults/relay.hpp
@@ -1,5 +1,5 @@
-// A TCP relay between the program and one peer that can fall silent: connections stay open, nothing passes,
-// and no side hears of an error. One thread.
+// A TCP relay between the program and one peer that can silence connections: they stay open and pass no data,
+// and neither side sees an error. Uses one thread.
 #pragma once
 
 #include <atomic>
@@ -12,11 +12,12 @@
 
 class Relay {
  public:
+  // What happens to new connections.
   enum class Dials {
-    pass,     // new connections are carried
-    swallow,  // they come up, and carry nothing
-    queue,    // they come up in the kernel's queue, as before a stopped process
-    reset     // they are reset once they have come up
+    pass,     // they are relayed
+    swallow,  // they are accepted and pass no data
+    queue,    // they stay in the kernel's accept queue, as with a suspended process
+    reset     // they are accepted and then reset
   };
   explicit Relay(std::string target);
   ~Relay();
@@ -25,27 +26,27 @@
 
   [[nodiscard]] std::string address() const { return "127.0.0.1:" + std::to_string(port_); }
   void set_dials(Dials dials) { dials_ = dials; }
-  // All connections open now carry nothing from here on.
+  // Silences all connections that are open now.
   void silence_open();
-  // The same for every second of them, so that connections to one server differ.
+  // Silences every second open connection, so that connections to one server differ.
   void silence_every_second();
-  // All connections open now are reset.
+  // Resets all connections that are open now.
   void reset_open();
-  // As when a machine is back: all that is open or waits in the kernel's queue is reset, new ones are
-  // carried.
+  // Restores normal operation, as after a restart of the machine: resets all connections that are open or in
+  // the accept queue, and relays new ones.
   void heal();
   [[nodiscard]] std::size_t open() const;
 
  private:
   struct Pair {
-    int near = -1, far = -1;  // the program's side, and the peer's
+    int near = -1, far = -1;  // sockets to the program and to the peer
     bool silent = false;
-    bool near_open = true, far_open = true;  // whether that side still sends
+    bool near_open = true, far_open = true;  // whether that side has not yet ended its sending direction
   };
   void run();
-  bool accept_one();  // false where none waits
+  bool accept_one();  // false if none is waiting
   void reset_pairs();
-  // Carries what one side has sent; false once the pair is over.
+  // Forwards available bytes from one socket to the other. Returns false if the pair has to be closed.
   static bool carry(int from, int to, bool& open);
   static void reset(Pair& pair);
 
--- a/tests/faults/stand_in_platform.cpp
+++ b/tests/faults/stand_in_platform.cpp
@@ -14,7 +14,7 @@
 namespace {
 
 const std::string kRooms = "/bootstrap/rooms/";
-constexpr int kUnknownPlaceMs = 300;  // until a place is answered for which no read is out
+constexpr int kUnknownPlaceMs = 300;  // delay of the answer to a reservation whose prefill is not in progress
 const std::string kTurnedAway = "X-Turned-Away: 1\r\n";
 
 std::string target_of(const Message& request) {
@@ -85,7 +85,7 @@
   platform_.history_.add(Kind::cache_held, id, id_);
   wire.send(simple("202 Accepted", "{\"cached_tokens\":0}"));
   if (silence_after_prefill_) {
-    // The answer has to be through before its connection falls silent.
+    // The answer has to pass before its connection is silenced.
     std::this_thread::sleep_for(std::chrono::milliseconds(20));
     relay_->silence_open();
   }
--- a/tests/faults/stand_in_platform.hpp
+++ b/tests/faults/stand_in_platform.hpp
@@ -1,5 +1,5 @@
-// Prefill and decode instances as the protocol describes them, for tests with faults between them and the
-// program: each behind a relay of its own, what they hold kept in one place, all they see in one history.
+// Simulated prefill and decode instances for fault tests. Each one has its own relay in front of it; the held
+// caches and the history of events are shared.
 #pragma once
 
 #include <atomic>
@@ -16,7 +16,7 @@
 
 namespace faults {
 
-// How a stand-in server spends its time; milliseconds, drawn evenly from least to most.
+// Service times of a simulated server in milliseconds, uniformly distributed from least to most.
 struct Pace {
   int prefill_least = 20, prefill_most = 20;
   int first_token_least = 20, first_token_most = 20;
@@ -32,7 +32,7 @@
   [[nodiscard]] bool prefill() const { return prefill_; }
   [[nodiscard]] Relay& relay() { return *relay_; }
   [[nodiscard]] stories::Platform::Instance listed() const;
-  // Whether answers to prefills are followed by silence of all connections open then.
+  // If on, each answer to a prefill is followed by silencing all open connections.
   void silence_after_prefill(bool on) { silence_after_prefill_ = on; }
 
  private:
@@ -57,7 +57,7 @@
   [[nodiscard]] History& history() { return history_; }
   [[nodiscard]] std::vector<std::unique_ptr<StandInServer>>& servers() { return servers_; }
   [[nodiscard]] std::vector<StandInServer*> of_role(bool prefill);
-  // As discovery lists them.
+  // The servers as discovery lists them.
   [[nodiscard]] std::vector<stories::Platform::Instance> listed() const;
 
  private:
@@ -66,7 +66,7 @@
 
   Pace pace_;
   History history_;
-  std::mutex mutex_;  // over what follows
+  std::mutex mutex_;  // protects the members below
   unsigned long long random_;
   std::set<std::string> prefilling_, held_, was_held_;
   std::vector<std::unique_ptr<StandInServer>> servers_;
