--- a/bench/admission_bench.cpp
+++ b/bench/admission_bench.cpp
@@ -1,6 +1,6 @@
-// Limiter and ledger beside their plain twins (window counters in a map; a map of answers), with so many
-// tenants or keys at work. `bytes` is what each structure holds for one of them, by the allocator's own
-// count.
+// Benchmarks of the rate limiter and the idempotency ledger against simple implementations (window counters
+// in a map; a map of answers), by the number of tenants or keys in use. `bytes` is the memory per tenant or
+// key that the allocator reports.
 #include <benchmark/benchmark.h>
 #include <malloc.h>
 
@@ -24,9 +24,9 @@
   return all;
 }
 
-// Two counters that begin anew each minute: what a plain limiter is, twice the limit at a window's edge
-// included.
-class Windows {
+// Simple limiter with two counters that are reset each minute. It admits up to twice the limit around the end
+// of a window.
+class WindowLimiter {
  public:
   bool take(Time now, const std::string& tenant, Tokens tokens) {
     Window& w = windows_[tenant];
@@ -50,16 +50,16 @@
   std::unordered_map<std::string, Window> windows_;
 };
 
-std::size_t in_use() { return mallinfo2().uordblks; }
+std::size_t allocated_bytes() { return mallinfo2().uordblks; }
 
 void limiter(benchmark::State& state) {
   const auto all = names(std::size_t(state.range(0)));
-  const std::size_t before = in_use();
+  const std::size_t before = allocated_bytes();
   Limiter limiter;
   std::mt19937 random(1);
   Time now = 1s;
   for (const std::string& name : all) (void)limiter.take(now, name, kLimits, 50);
-  state.counters["bytes"] = double(in_use() - before) / double(all.size());
+  state.counters["bytes"] = double(allocated_bytes() - before) / double(all.size());
   for (auto _ : state) {
     now += 100us;
     const std::string& name = all[random() % all.size()];
@@ -69,12 +69,12 @@
 }
 void plain_windows(benchmark::State& state) {
   const auto all = names(std::size_t(state.range(0)));
-  const std::size_t before = in_use();
-  Windows windows;
+  const std::size_t before = allocated_bytes();
+  WindowLimiter windows;
   std::mt19937 random(1);
   Time now = 1s;
   for (const std::string& name : all) windows.take(now, name, 50);
-  state.counters["bytes"] = double(in_use() - before) / double(all.size());
+  state.counters["bytes"] = double(allocated_bytes() - before) / double(all.size());
   for (auto _ : state) {
     now += 100us;
     const std::string& name = all[random() % all.size()];
@@ -86,7 +86,7 @@
 
 void ledger(benchmark::State& state) {
   const auto all = names(std::size_t(state.range(0)));
-  const std::size_t before = in_use();
+  const std::size_t before = allocated_bytes();
   Ledger ledger({std::size_t(state.range(0)) + 1, std::size_t(1) << 30, 1 << 20, 3600s});
   Time now = 1s;
   for (const std::string& name : all) {
@@ -94,9 +94,9 @@
     ledger.wrote(begun.number);
     ledger.end(now, begun.number, true, Recorded{200, "application/json", kAnswer, false});
   }
-  state.counters["bytes"] = double(in_use() - before) / double(all.size());
+  state.counters["bytes"] = double(allocated_bytes() - before) / double(all.size());
   std::mt19937 random(1);
-  // A request that is new, and one repeat of an old one.
+  // Each iteration is one new request and one repeat of an earlier one.
   std::uint64_t fresh = 0;
   for (auto _ : state) {
     now += 100us;
@@ -106,13 +106,13 @@
     ledger.end(now, begun.number, true, std::nullopt);
   }
 }
-// Remembers for ever and bounds nothing.
+// Simple ledger: keeps entries forever and limits nothing.
 void plain_map(benchmark::State& state) {
   const auto all = names(std::size_t(state.range(0)));
-  const std::size_t before = in_use();
+  const std::size_t before = allocated_bytes();
   std::map<std::string, std::pair<std::uint64_t, std::string>> map;
   for (const std::string& name : all) map["t:" + name] = {1, kAnswer};
-  state.counters["bytes"] = double(in_use() - before) / double(all.size());
+  state.counters["bytes"] = double(allocated_bytes() - before) / double(all.size());
   std::mt19937 random(1);
   std::uint64_t fresh = 0;
   for (auto _ : state) {
@@ -122,7 +122,7 @@
   }
 }
 
-// What a guess costs, and that it takes as long whatever is wrong with it.
+// Cost of checking an API key. It should not depend on which part of the key is wrong.
 void key_check(benchmark::State& state) {
   Key key;
   key.id = "00000000000a";
--- a/bench/ajuste_day.cpp
+++ b/bench/ajuste_day.cpp
@@ -1,7 +1,7 @@
-// A day of 1,000 `ajuste` from clients that repeat as the published SDKs do (twice, on broken connections,
-// 409 and 5xx, unless `x-should-retry` forbids it), while connections and boxes are killed: how many ran
-// twice, with the ledger and without. `ajuste_day [REQUESTS]`; bounded by the count, 16 clients at once, from
-// one seed.
+// Counts how many of 1,000 `ajuste` requests run twice, with the idempotency ledger and without it. Clients
+// retry as the published SDKs do (twice, after lost connections, 409 and 5xx, unless `x-should-retry` forbids
+// it) while connections and requests at instances fail. `ajuste_day [REQUESTS]`; 16 concurrent clients, a
+// fixed seed, and as many requests as given.
 #include <atomic>
 #include <cstdio>
 #include <map>
@@ -19,30 +19,31 @@
 namespace {
 
 constexpr int kClients = 16;
-constexpr int kRepeats = 2;  // the SDKs' default
+constexpr int kRetries = 2;  // the SDKs' default
 constexpr unsigned kSeed = 20261201;
 
-// Counts runs by the request's own name, which stands in its text.
-class Runs {
+// Counts executions by the request's name, which is its prompt.
+class ExecutionCounts {
  public:
   void add(const std::string& name) {
     const std::lock_guard lock(mutex_);
     ++runs_[name];
   }
-  [[nodiscard]] int twice() const {
+  [[nodiscard]] int repeated() const {
     int count = 0;
     for (const auto& [name, runs] : runs_) count += runs > 1;
     return count;
   }
-  [[nodiscard]] std::size_t ran() const { return runs_.size(); }
+  [[nodiscard]] std::size_t executed() const { return runs_.size(); }
 
  private:
   std::mutex mutex_;
   std::map<std::string, int> runs_;
 };
 
-// Runs what it has read whole, and fails by a draw: 4% answer 500, 4% break off after running, 4% turn away.
-Peer::Script box(Runs& runs, unsigned seed) {
+// Simulated instance: executes complete requests and fails at random: 4% answer 500, 4% reset the connection
+// after execution, 4% reject the request.
+Peer::Script simulated_instance(ExecutionCounts& runs, unsigned seed) {
   return [&runs, seed, connections = std::make_shared<std::atomic<unsigned>>(0)](Wire& wire) {
     std::mt19937 random(seed + 7919 * ++*connections);
     while (const auto request = wire.receive()) {
@@ -72,11 +73,11 @@
   bool served = false, unknown = false;
 };
 
-// One request with its SDK's repeats; a tenth of all connections dies under it.
+// Sends one request with an SDK's retries; a tenth of all connections are reset while it runs.
 Outcome ask(const std::string& address, const std::string& name, std::mt19937& random) {
   const std::string body =
       json{{"model", "ajuste"}, {"messages", {{{"role", "user"}, {"content", name}}}}}.dump();
-  for (int repeat = 0; repeat <= kRepeats; ++repeat) {
+  for (int repeat = 0; repeat <= kRetries; ++repeat) {
     const auto wire = Wire::to(address);
     wire->send(
         "POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nConnection: close\r\nIdempotency-Key: stainless-" +
@@ -88,17 +89,17 @@
     } else {
       const Message answer = wire->receive().value_or(Message{});
       if (answer.status() == 200) return {true, false};
-      const auto word = answer.headers.find("x-should-retry");
-      if (word != answer.headers.end() && word->second == "false") return {false, true};
+      const auto retry_header = answer.headers.find("x-should-retry");
+      if (retry_header != answer.headers.end() && retry_header->second == "false") return {false, true};
     }
     std::this_thread::sleep_for(std::chrono::milliseconds(20 + random() % 20));
   }
   return {};
 }
 
-void day(int requests, bool with_ledger) {
-  Runs runs;
-  Peer one(box(runs, kSeed)), two(box(runs, kSeed + 1));
+void measure(int requests, bool with_ledger) {
+  ExecutionCounts runs;
+  Peer one(simulated_instance(runs, kSeed)), two(simulated_instance(runs, kSeed + 1));
   const std::string address = own_address();
   const json file = {
       {"listen", address},
@@ -123,8 +124,8 @@
   for (std::thread& client : clients) client.join();
   std::printf(
       "%-15s %d asked, %zu ran, %d ran twice; %d clients served, %d told that the outcome is unknown\n",
-      with_ledger ? "with ledger:" : "without ledger:", requests, runs.ran(), runs.twice(), served.load(),
-      unknown.load());
+      with_ledger ? "with ledger:" : "without ledger:", requests, runs.executed(), runs.repeated(),
+      served.load(), unknown.load());
   program.terminate();
   program.wait();
 }
@@ -133,6 +134,6 @@
 
 int main(int argc, char** argv) {
   const int requests = argc > 1 ? std::atoi(argv[1]) : 1000;
-  for (const bool with_ledger : {false, true}) day(requests, with_ledger);
+  for (const bool with_ledger : {false, true}) measure(requests, with_ledger);
   return 0;
 }
--- a/bench/chat_load.cpp
+++ b/bench/chat_load.cpp
@@ -1,7 +1,7 @@
-// CPU and memory of the whole program under chat requests, against a stand-in box: `chat_load [REQUESTS]
-// [LARGE BODIES] [KEYS FILE KEY]`, the last two to ask with a key that has limits, and an Idempotency-Key
-// each. Bounded: so many requests from 32 clients at once, a new connection each, then a few open ones with
-// large bodies. $BANKMUX_BINARY names another build to measure.
+// CPU and memory of the whole program under chat requests, against simulated instances: `chat_load [REQUESTS]
+// [LARGE BODIES] [KEYS FILE KEY]`. With KEYS FILE and KEY, requests carry an API key with limits and an
+// Idempotency-Key each. Sends REQUESTS requests from 32 concurrent clients on a new connection each, and then
+// holds a few requests with large bodies open. $BANKMUX_BINARY names another build to measure.
 #include <unistd.h>
 
 #include <atomic>
@@ -20,7 +20,7 @@
 
 constexpr int kClients = 32;
 constexpr int kEvents = 40;
-constexpr std::size_t kLarge = 8 * 1024 * 1024 - 4096;
+constexpr std::size_t kLargeBodyBytes = 8 * 1024 * 1024 - 4096;
 
 std::string chunk(const std::string& bytes) {
   char size[20];
@@ -47,7 +47,7 @@
   return resident * double(sysconf(_SC_PAGESIZE)) / 1e6;
 }
 
-void box(Wire& wire) {
+void serve_instance(Wire& wire) {
   const std::string event = chunk(
       "data: {\"choices\":[{\"index\":0,\"delta\":{\"content\":\"some "
       "words\"},\"finish_reason\":null}]}\n\n");
@@ -76,13 +76,13 @@
          "Content-Length: " + std::to_string(text.size()) + "\r\n\r\n" + text;
 }
 
-json body(bool stream, std::size_t letters) {
+json body(bool stream, std::size_t characters) {
   return {{"model", "m"},
           {"stream", stream},
-          {"messages", {{{"role", "user"}, {"content", std::string(letters, 'x')}}}}};
+          {"messages", {{{"role", "user"}, {"content", std::string(characters, 'x')}}}}};
 }
 
-// CPU of the program for each of so many requests.
+// CPU time of the program per request, in milliseconds.
 double measure(pid_t pid, const std::string& address, const json& body, const std::string& key,
                int requests) {
   static std::atomic<int> number{0};
@@ -113,7 +113,7 @@
 int main(int argc, char** argv) {
   const int requests = argc > 1 ? std::atoi(argv[1]) : 4000;
   const int large_open = argc > 2 ? std::atoi(argv[2]) : 4;
-  Peer one(box), two(box);
+  Peer one(serve_instance), two(serve_instance);
   const std::string address = own_address();
   const std::string key = argc > 4 ? argv[4] : "";
   json file = {
@@ -123,8 +123,9 @@
       {"models", {{{"name", "m"}, {"class", "c"}}}},
       {"boxes", {{{"id", "a"}, {"address", one.address()}}, {{"id", "b"}, {"address", two.address()}}}}};
   if (!key.empty()) file["keys"] = argv[3];
-  // $CONTINUATION: the model's setting, to measure what keeping each stream's events costs.
-  if (const char* way = std::getenv("CONTINUATION")) file["models"][0]["continuation"] = way;
+  // $CONTINUATION sets the model's `continuation`, to measure the cost of storing each stream's events.
+  if (const char* continuation = std::getenv("CONTINUATION"))
+    file["models"][0]["continuation"] = continuation;
   Program program({"serve", "--appliance", temporary_file(file.dump())}, {});
   if (!Program::listens(address)) return 1;
   std::printf("at start            %8.1f MB resident\n", resident_mb(program.pid()));
@@ -137,7 +138,7 @@
   std::vector<std::unique_ptr<Wire>> open;
   for (int i = 0; i < large_open; ++i) {
     open.push_back(Wire::to(address));
-    open.back()->send(request(body(false, kLarge)));
+    open.back()->send(request(body(false, kLargeBodyBytes)));
   }
   if (large_open > 0) std::this_thread::sleep_for(std::chrono::seconds(1));
   if (large_open > 0)
--- a/bench/lost_streams.cpp
+++ b/bench/lost_streams.cpp
@@ -1,6 +1,7 @@
-// How many lost streams are saved, and how long their clients wait at the seam: `lost_streams [STREAMS]`, 24
-// clients at once, three boxes that reset a quarter of all first attempts at a drawn event, or all at one
-// moment; without `continuation` and with it. One seed; bounded by the count.
+// Counts how many interrupted streams are recovered, and how long their clients wait for the continuation,
+// with and without `continuation`: `lost_streams [STREAMS]`. 24 concurrent clients and three instances;
+// either a quarter of all first attempts are reset at a random event, or one of the three instances fails at
+// one moment. A fixed seed, and as many streams as given.
 #include <algorithm>
 #include <atomic>
 #include <chrono>
@@ -19,7 +20,7 @@
 namespace {
 
 constexpr int kClients = 24, kEvents = 40;
-constexpr auto kPace = std::chrono::milliseconds(10);
+constexpr auto kEventInterval = std::chrono::milliseconds(10);
 
 std::string word(int number) { return "word" + std::to_string(number) + " "; }
 
@@ -36,26 +37,27 @@
   return size + event + "\r\n";
 }
 
-// Writes the words after those that it is told of; `dies`: after how many, below zero never.
-Peer::Script box(const std::function<int()>& dies, const std::atomic<bool>& down) {
-  return [dies, &down](Wire& wire) {
+// Simulated instance: continues after the words that the request already contains. `reset_after` returns the
+// number of words after which it resets the connection; negative: never.
+Peer::Script simulated_instance(const std::function<int()>& reset_after, const std::atomic<bool>& down) {
+  return [reset_after, &down](Wire& wire) {
     while (const auto request = wire.receive()) {
       if (request->first.starts_with("GET ")) {
         wire.send("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}");
         continue;
       }
       const json body = json::parse(request->body);
-      const bool begun = body.value("continue_final_message", false);
-      const std::string written = begun ? body["messages"].back()["content"].get<std::string>() : "";
-      const int end = begun ? -1 : dies();
+      const bool continued = body.value("continue_final_message", false);
+      const std::string written = continued ? body["messages"].back()["content"].get<std::string>() : "";
+      const int end = continued ? -1 : reset_after();
       wire.send("HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n");
-      std::string so_far;
+      std::string text;
       for (int i = 0; i < kEvents; ++i) {
-        so_far += word(i);
-        if (so_far.size() <= written.size()) continue;
+        text += word(i);
+        if (text.size() <= written.size()) continue;
         if (i == end || down) return wire.reset();
         wire.send(chunk({{"index", 0}, {"delta", {{"content", word(i)}}}, {"finish_reason", nullptr}}));
-        std::this_thread::sleep_for(kPace);
+        std::this_thread::sleep_for(kEventInterval);
       }
       wire.send(chunk({{"index", 0}, {"delta", json::object()}, {"finish_reason", "stop"}}));
       wire.send("e\r\ndata: [DONE]\n\n\r\n0\r\n\r\n");
@@ -63,20 +65,20 @@
   };
 }
 
-struct Figures {
+struct Totals {
   std::atomic<int> whole{0}, broken{0}, wrong{0}, lost{0};
   std::mutex mutex;
-  std::vector<double> pauses;  // ms: the longest between two events, of streams that came whole
+  std::vector<double> pauses;  // longest pause between two events in ms, of each complete stream
 };
 
-void ask(const std::string& address, Figures& figures) {
+void ask(const std::string& address, Totals& totals) {
   const std::string body =
       json{{"model", "m"}, {"stream", true}, {"messages", {{{"role", "user"}, {"content", "go"}}}}}.dump();
   const auto wire = Wire::to(address);
   wire->send("POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nConnection: close\r\nContent-Length: " +
              std::to_string(body.size()) + "\r\n\r\n" + body);
   if (wire->receive_head().status() != 200) {
-    ++figures.broken;
+    ++totals.broken;
     return;
   }
   std::string text;
@@ -95,27 +97,28 @@
       text += value["choices"][0]["delta"].value("content", "");
   }
   if (!done) {
-    ++figures.broken;
-    if (!whole_text().starts_with(text)) ++figures.wrong;
+    ++totals.broken;
+    if (!whole_text().starts_with(text)) ++totals.wrong;
     return;
   }
-  ++(text == whole_text() ? figures.whole : figures.wrong);
-  const std::lock_guard lock(figures.mutex);
-  figures.pauses.push_back(longest);
+  ++(text == whole_text() ? totals.whole : totals.wrong);
+  const std::lock_guard lock(totals.mutex);
+  totals.pauses.push_back(longest);
 }
 
-void play(const char* continuation, bool together, int streams) {
-  Figures figures;
+void measure(const char* continuation, bool at_once, int streams) {
+  Totals totals;
   std::mt19937 random(20261201);
-  std::mutex drawing;
-  const auto dies = [&] {
-    const std::lock_guard lock(drawing);
-    if (together || random() % 4 != 0) return -1;
-    ++figures.lost;
+  std::mutex random_mutex;
+  const auto reset_after = [&] {
+    const std::lock_guard lock(random_mutex);
+    if (at_once || random() % 4 != 0) return -1;
+    ++totals.lost;
     return int(1 + random() % (kEvents - 2));
   };
   std::atomic<bool> down{false}, up{false};
-  Peer one(box(dies, down)), two(box(dies, up)), three(box(dies, up));
+  Peer one(simulated_instance(reset_after, down)), two(simulated_instance(reset_after, up)),
+      three(simulated_instance(reset_after, up));
   const std::string address = own_address();
   const json file = {
       {"listen", address},
@@ -129,27 +132,27 @@
   if (!Program::listens(address)) return;
   std::atomic<int> left{streams};
   std::vector<std::thread> clients;
-  const int at_once = together ? streams : kClients;
-  for (int i = 0; i < at_once; ++i) {
+  const int client_count = at_once ? streams : kClients;
+  for (int i = 0; i < client_count; ++i) {
     clients.emplace_back([&] {
-      while (left-- > 0) ask(address, figures);
+      while (left-- > 0) ask(address, totals);
     });
   }
-  if (together) {
-    std::this_thread::sleep_for(kPace * kEvents / 2);
+  if (at_once) {
+    std::this_thread::sleep_for(kEventInterval * kEvents / 2);
     down = true;
   }
   for (std::thread& client : clients) client.join();
-  std::ranges::sort(figures.pauses);
-  const auto at = [&](double part) {
-    return figures.pauses.empty() ? 0.0
-                                  : figures.pauses[std::size_t(part * double(figures.pauses.size() - 1))];
+  std::ranges::sort(totals.pauses);
+  const auto at = [&](double quantile) {
+    return totals.pauses.empty() ? 0.0
+                                 : totals.pauses[std::size_t(quantile * double(totals.pauses.size() - 1))];
   };
   std::printf(
       "%-26s %-13s %4d streams, %3d whole, %3d broken, %d wrong; longest pause %.0f ms (p50), %.0f ms "
       "(p99)\n",
-      together ? "one of three boxes dies:" : "a quarter reset:", continuation, streams, figures.whole.load(),
-      figures.broken.load(), figures.wrong.load(), at(0.5), at(0.99));
+      at_once ? "one of three boxes dies:" : "a quarter reset:", continuation, streams, totals.whole.load(),
+      totals.broken.load(), totals.wrong.load(), at(0.5), at(0.99));
   program.terminate();
   program.wait();
 }
@@ -158,9 +161,9 @@
 
 int main(int argc, char** argv) {
   const int streams = argc > 1 ? std::atoi(argv[1]) : 240;
-  for (const bool together : {false, true}) {
+  for (const bool at_once : {false, true}) {
     for (const char* continuation : {"none", "final_message"})
-      play(continuation, together, together ? 200 : streams);
+      measure(continuation, at_once, at_once ? 200 : streams);
   }
   return 0;
 }
--- a/bench/parse_bench.cpp
+++ b/bench/parse_bench.cpp
@@ -1,5 +1,6 @@
-// What understanding a chat request costs: the strict reader, rules and facts beside a plain parse, which is
-// what the program did before it checked anything; and cutting a stream beside a search for empty lines.
+// Cost of parsing a chat request: the strict JSON reader, schema rules and extraction of routing facts,
+// compared with a plain parse without checks; and splitting an event stream, compared with a search for empty
+// lines.
 #include <benchmark/benchmark.h>
 
 #include <nlohmann/json.hpp>
@@ -22,7 +23,7 @@
   return made;
 }
 
-// A conversation of so many bytes, in turns of 400 letters.
+// A chat request with `bytes` bytes of conversation, in turns of 400 letters.
 std::string conversation(std::size_t bytes) {
   json body = {{"model", "m"}, {"stream", true}, {"messages", json::array()}};
   for (std::size_t size = 0; size < bytes; size += 400) {
