--- a/bench/parse_bench.cpp
+++ b/bench/parse_bench.cpp
@@ -1,6 +1,6 @@
 // Cost of parsing a chat request: the strict JSON reader, schema rules and extraction of routing facts,
-// compared with a plain parse without checks; and splitting an event stream, compared with a search for empty
-// lines.
+// compared with a plain parse, which is what the program did before requests were checked; and splitting an
+// event stream, compared with a search for empty lines.
 #include <benchmark/benchmark.h>
 
 #include <nlohmann/json.hpp>
--- a/bench/silence_bench.cpp
+++ b/bench/silence_bench.cpp
@@ -15,7 +15,7 @@
 
 namespace {
 
-constexpr int kInstances = 6, kStreams = 12;  // kStreams: open streams per instance
+constexpr int kInstances = 6, kStreams = 12;  // kStreams: always open at each instance
 constexpr Duration kStep = 5ms;
 
 struct Result {
@@ -23,9 +23,10 @@
   std::vector<double> seconds;  // from the freeze until the instance is given up
 };
 
-// Simulates the fleet. Instances write in batches: every stream of an instance gets an event every 30 to 60
-// ms. One batch in 400 stalls for 0.2 to 0.9 s; one event in 3,000 pauses its own stream for as long; for 20
-// s of every 5 minutes the whole fleet is six times slower; once a minute one instance freezes for 10 s.
+// Simulates the fleet. Instances write in batches: every stream of an instance gets an event every
+// 30 to 60 ms. One batch in 400 stalls for 0.2 to 0.9 s; one event in 3,000 pauses its own stream for as
+// long; for 20 s of every 5 minutes the whole fleet is six times slower; once a minute one instance freezes
+// for 10 s.
 template <typename Limit>
 Result simulate(double hours, bool adaptive, Limit fixed) {
   std::mt19937_64 random(20261201);
--- a/src/coordination/sqlite_store.cpp
+++ b/src/coordination/sqlite_store.cpp
@@ -13,8 +13,8 @@
 namespace {
 
 constexpr int kFormatVersion = 1;
-constexpr int kBusyTimeoutMs =
-    500;  // wait for a lock; another process holds it for at most the fsync of one write
+// Wait for the lock of the file, which another process holds for at most the fsync of one write.
+constexpr int kBusyTimeoutMs = 500;
 constexpr std::size_t kMaxQueuedJobs = 1'000;  // more waiting calls mean that the disk does not keep up
 constexpr std::chrono::milliseconds kPollInterval{50};  // between checks for changes by other processes
 
--- a/src/duties/duty_runner.hpp
+++ b/src/duties/duty_runner.hpp
@@ -73,7 +73,7 @@
   std::map<ownership::Duty, ownership::OwnerRecord> logged_owners_;  // owners as last logged
   std::map<ownership::Duty, ownership::Time> first_seen_;  // when this member first saw the current owner
   std::map<ownership::Duty, WriteCounts> write_counts_;
-  std::uint64_t store_calls_ = 0;  // made to the store
+  std::uint64_t store_calls_ = 0;  // calls made to the store, for the operator page
   std::string last_failure_;       // of the last ownership call; empty if it succeeded
   std::shared_ptr<bool> alive_;
 };
--- a/src/ownership/ownership.hpp
+++ b/src/ownership/ownership.hpp
@@ -26,16 +26,17 @@
 using Duty = std::string;
 
 struct Settings {
-  std::string self;               // this member's name: letters, digits, '-', '_' and '.'
-  std::uint64_t incarnation = 0;  // random per process start: tells a restarted member apart from its
-                                  // predecessor, whose lease may still run
+  std::string self;  // this member's name: letters, digits, '-', '_' and '.'
+  // Random per process start: distinguishes a restarted member from its predecessor, whose lease may still
+  // run.
+  std::uint64_t incarnation = 0;
   std::vector<Duty> duties;
-  Duration time_to_live{10'000'000};
-  Duration margin{
-      1'000'000};       // longest duration of one owner operation: grants end this long before the lease
+  Duration time_to_live{10'000'000};  // of the lease
+  // Longest duration of one owner operation: grants end this long before the lease.
+  Duration margin{1'000'000};
   double drift = 0.01;  // largest fraction by which this clock may run slower than the store's
-  Duration dwell{
-      5'000'000};  // minimum time that a member keeps a duty before it releases it to another member
+  // Minimum time that a member keeps a duty before it releases it to another member.
+  Duration dwell{5'000'000};
   // Wait after a failed call: doubled for each consecutive failure, then reduced by a random share of up to
   // one half.
   Duration initial_backoff{100'000}, max_backoff{5'000'000};
@@ -96,7 +97,7 @@
  public:
   explicit Ownership(Settings settings);
 
-  // Returns the call to make now, if any. `unit` is a random number in [0, 1) that spreads the waits of
+  // Returns the call to make now, if any. `jitter` is a random number in [0, 1) that spreads the waits of
   // several members.
   [[nodiscard]] std::optional<Call> next_call(Time now, double jitter);
   // Handles the answer to the call with that number. Answers to other calls and repeated answers are ignored.
--- a/tests/faults/history.hpp
+++ b/tests/faults/history.hpp
@@ -15,21 +15,20 @@
 
 struct HistoryEvent {
   enum class Kind {
-    client_sent,  // a client wrote the last byte of a request; detail: class; number: seconds that it waits
+    client_sent,          // a client sent a whole request; detail: class; number: seconds it waits
     client_disconnected,  // a client closed its connection before its answer was complete
     client_answered,      // a client received a final answer; number: its status
     client_unanswered,    // a client's connection ended without a complete answer
-    attempt_received,  // a server received a complete attempt; number: the remaining time that it states, in
-                       // seconds
-    attempt_ended,     // a server ended an attempt; detail: how
-    cache_held,        // a prefill instance began to hold the KV cache of a prompt
-    reservation_held,  // a decode instance began to hold a reservation
-    released,          // a server received a release
-    server_silenced,   // connections to a server pass no more data; id is empty
-    server_restored,   // the silent connections were reset, and new ones work
-    server_reset,      // the open connections of a server were reset
-    drain_announced,   // discovery announced that a server drains; id is empty
-    serving_announced  // discovery announced that a server serves again; id is empty
+    attempt_received,     // a server received a complete attempt; number: remaining time in seconds
+    attempt_ended,        // a server ended an attempt; detail: how
+    cache_held,           // a prefill instance began to hold the KV cache of a prompt
+    reservation_held,     // a decode instance began to hold a reservation
+    released,             // a server received a release
+    server_silenced,      // connections to a server pass no more data; id is empty
+    server_restored,      // the silent connections were reset, and new ones work
+    server_reset,         // the open connections of a server were reset
+    drain_announced,      // discovery announced that a server drains; id is empty
+    serving_announced     // discovery announced that a server serves again; id is empty
   };
   double at = 0.0;
   Kind kind = Kind::client_sent;
@@ -39,7 +38,7 @@
   double number = 0.0;
 };
 
-// Detail of client_unserved if the connection ended within the answer.
+// Detail of client_unanswered if the connection ended within the answer.
 inline const std::string kBrokenStream = "broken within its answer";
 
 class History {
@@ -59,8 +58,8 @@
 
 // Time limits of the rules, in seconds.
 struct RuleLimits {
-  double held =
-      0.6;  // longest time a held cache or reservation may stay unused: release time of the settings + 0.3
+  // Longest time a held cache or reservation may stay unused: the release time of the settings + 0.3.
+  double held = 0.6;
   double answer_slack = 0.5;        // a final answer may come this long after the client's wait
   double after_disconnect = 0.1;    // an attempt may begin this long after its client has disconnected
   double stated_time_slack = 0.15;  // an attempt may state this much more than the client's remaining time
--- a/tests/faults/soak.cpp
+++ b/tests/faults/soak.cpp
@@ -29,10 +29,10 @@
 // which at most 3 s count, plus 0.7 s.
 constexpr double kLongestDeadline = 3.0;
 constexpr double kKillDelay = kLongestDeadline + 0.7;
-constexpr double kReadyTimeout = 10.0;
-constexpr double kMaxPause = 0.15;  // longest pause in seconds of a conductor process
-constexpr int kClients = 5;         // per conductor
-constexpr int kCrowdClients = 60;
+constexpr double kReadyTimeout = 10.0;  // seconds until a restarted conductor has to listen
+constexpr double kMaxPause = 0.15;      // longest pause in seconds of a conductor process
+constexpr int kClients = 5;             // per conductor
+constexpr int kCrowdClients = 60;       // per conductor, in crowded runs
 
 using Random = std::mt19937;
 
@@ -199,8 +199,8 @@
         return;
       }
     }
-    history_.add(Kind::client_disconnected,
-                 id);  // not received by any conductor: the client would try another one
+    // Not received by any conductor: a front would try another one.
+    history_.add(Kind::client_disconnected, id);
   }
 
   bool wait_and_disconnect(const std::string& id) {
--- a/tests/faults/stand_in_platform.cpp
+++ b/tests/faults/stand_in_platform.cpp
@@ -14,8 +14,8 @@
 namespace {
 
 const std::string kReservationPath = "/bootstrap/rooms/";
-constexpr int kUnknownReservationDelayMs =
-    300;  // delay of the answer to a reservation whose prefill is not in progress
+// Delay of the answer to a reservation whose prefill is not in progress.
+constexpr int kUnknownReservationDelayMs = 300;
 const std::string kRejectedHeader = "X-Turned-Away: 1\r\n";
 
 std::string target_of(const Message& request) {
--- a/tests/faults/stand_in_platform.hpp
+++ b/tests/faults/stand_in_platform.hpp
@@ -1,5 +1,5 @@
-// Simulated prefill and decode instances for fault tests. Each one has its own relay in front of it; the held
-// caches and the history of events are shared.
+// Simulated prefill and decode instances, following the instance protocol, for fault tests. Each one has its
+// own relay in front of it; the held caches and the history of events are shared.
 #pragma once
 
 #include <atomic>
@@ -16,7 +16,7 @@
 
 namespace faults {
 
-// Service times of a simulated server in milliseconds, uniformly distributed from least to most.
+// Service times of a simulated server in milliseconds, uniformly distributed between minimum and maximum.
 struct ServiceTimes {
   int prefill_min = 20, prefill_max = 20;
   int first_token_min = 20, first_token_max = 20;
--- a/tests/ownership_model.hpp
+++ b/tests/ownership_model.hpp
@@ -23,7 +23,7 @@
   std::size_t max_states = 2'000'000;
   int faults = 1;       // calls or answers that are lost, late or repeated, along one path
   int suspensions = 1;  // suspended processes, along one path
-  // Deliberate defects: each one disables a guarantee that the model has to notice.
+  // Deliberate defects: each one breaks a guarantee, and the model has to find the violation.
   bool fencing = true;
   int margin = 2;
   bool lease_from_answer = false;
@@ -65,7 +65,7 @@
  private:
   using Time = ownership::Time;
   static constexpr Time kTimeUnit{1};
-  static constexpr int kLeaseUnits = 6;  // units
+  static constexpr int kLeaseUnits = 6;  // time to live of a lease, in time units
   static constexpr int kLongestOperation = 2;
 
   struct InFlight {
