--- a/simhost/codec.cpp
+++ b/simhost/codec.cpp
@@ -214,7 +214,7 @@
   ListChanged event;
   event.scope = parse_name(kScopes, text_field(message, "scope"), "scope");
   for (const Json& value : array_or_empty(message, "rowsIn")) {
-    event.entries.push_back(decode_entry(require_object(value, "rowsIn"), kSimulatorEntry, {}, {}));
+    event.entries.push_back(decode_entry(require_object(value, "rowsIn"), kSimulatorEntryFormat, {}, {}));
   }
   return event;
 }
@@ -334,7 +334,7 @@
   return hash == 0 ? 1 : hash;
 }
 
-const EntryForm kSimulatorEntry{
+const EntryFormat kSimulatorEntryFormat{
     "engine", "state", "area", "stripe", "hw", "rating", "startTimeS", 1.0, {"live", "quiescing", "dead"}};
 
 namespace {
@@ -350,7 +350,7 @@
 
 }  // namespace
 
-EngineEntry decode_entry(const Json& row, const EntryForm& form, const std::vector<std::string>& zones,
+EngineEntry decode_entry(const Json& row, const EntryFormat& form, const std::vector<std::string>& zones,
                          const std::vector<std::string>& kinds) {
   const Names<EngineState, 3> states{{{form.states[0], EngineState::live},
                                       {form.states[1], EngineState::draining},
--- a/simhost/codec.hpp
+++ b/simhost/codec.hpp
@@ -34,7 +34,7 @@
 Settings decode_settings(const Json& init);
 
 // Field names and values of a list's entries: those of the simulator or of discovery.
-struct EntryForm {
+struct EntryFormat {
   const char* engine;
   const char* state;
   const char* zone;
@@ -45,9 +45,9 @@
   double started_per_second;
   std::array<const char*, 3> states;  // values of live, draining, gone
 };
-extern const EntryForm kSimulatorEntry;
+extern const EntryFormat kSimulatorEntryFormat;
 // Zones and kinds are indices or names from these lists. A textual instance id is hashed to its key.
-EngineEntry decode_entry(const Json& row, const EntryForm& form, const std::vector<std::string>& zones,
+EngineEntry decode_entry(const Json& row, const EntryFormat& form, const std::vector<std::string>& zones,
                          const std::vector<std::string>& kinds);
 
 // Returns nothing for an event type that the module does not use.
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -20,9 +20,9 @@
 
 namespace {
 
-constexpr wire::EntryForm kDiscoveryEntry{"id",         "state", "zone",
-                                          "cell",       "kind",  "weight",
-                                          "started_ms", 1000.0,  {"SERVING", "DRAINING", "DELETED"}};
+constexpr wire::EntryFormat kDiscoveryEntry{"id",         "state", "zone",
+                                            "cell",       "kind",  "weight",
+                                            "started_ms", 1000.0,  {"SERVING", "DRAINING", "DELETED"}};
 
 // Entries in one list. A site has 10 to 13 instances and a large fleet 60. Each entry costs every conductor
 // memory for as long as it runs, and the module examines all entries for each request, so that a longer list
