--- a/simhost/codec.cpp
+++ b/simhost/codec.cpp
@@ -91,7 +91,7 @@
 
 double seconds(Duration value) { return static_cast<double>(value.count()) / kMicrosPerSecond; }
 
-Key key(const Json& object, const char* name) { return key_of(string_or(object, name, "")); }
+Key key(const Json& object, const char* name) { return hash_key(string_or(object, name, "")); }
 
 template <typename E, std::size_t N>
 using Names = std::array<std::pair<std::string_view, E>, N>;
@@ -327,7 +327,7 @@
 Time time_field(const Json& object, const char* name) { return from_seconds(number(object, name), name); }
 
 // FNV-1a hash: every front must compute the same key for the same text.
-Key key_of(const std::string& text) {
+Key hash_key(const std::string& text) {
   if (text.empty()) return 0;
   std::uint64_t hash = 14695981039346656037ULL;
   for (const char c : text) hash = (hash ^ static_cast<unsigned char>(c)) * 1099511628211ULL;
--- a/simhost/codec.hpp
+++ b/simhost/codec.hpp
@@ -26,7 +26,7 @@
 Time time_field(const Json& object, const char* name);
 
 // Hashes a text to a key, the same at every front; 0 for an empty text.
-Key key_of(const std::string& text);
+Key hash_key(const std::string& text);
 
 // Decode settings: the options object of the configuration, and the simulator's first message, which contains
 // it.
--- a/src/net/appliance/box_watch.cpp
+++ b/src/net/appliance/box_watch.cpp
@@ -35,7 +35,7 @@
     if (previous != previous_list.end()) updated = *previous;
     updated.listed.id = instance.id;
     updated.listed.address = instance.address;
-    updated.listed.entry.engine = eiderarch::wire::key_of(instance.id);
+    updated.listed.entry.engine = eiderarch::wire::hash_key(instance.id);
     updated.listed.entry.rating = instance.weight;
     // A known id at a new address is another process: it starts cold, and none of the old state applies.
     const bool moved = previous == previous_list.end() &&
--- a/src/net/platform/platform_front.cpp
+++ b/src/net/platform/platform_front.cpp
@@ -62,7 +62,7 @@
     const std::string_view name = item.substr(0, equals);
     const std::string_view value = item.substr(equals + 1);
     if (name == "prefix") {
-      facts.prefix = eiderarch::wire::key_of(std::string(value));
+      facts.prefix = eiderarch::wire::hash_key(std::string(value));
     } else if (name == "prompt_len") {
       facts.prompt_tokens = parse_integer(value, kMaxTokens, "X-Labels: prompt_len");
       prompt_length_seen = true;
@@ -88,7 +88,7 @@
   const std::string tenant = incoming.header("X-Org");
   if (tenant.size() > kMaxValueLength) throw BadHeader{"X-Org is too long"};
   ask.facts.tenant = std::uint32_t(std::ranges::find(tenants, tenant) - tenants.begin());
-  ask.facts.session = eiderarch::wire::key_of(required_header(incoming, "X-Entity"));
+  ask.facts.session = eiderarch::wire::hash_key(required_header(incoming, "X-Entity"));
   const auto remaining_ms =
       parse_integer(required_header(incoming, "X-Remaining-Ms"), kMaxRemainingMs, "X-Remaining-Ms");
   ask.facts.deadline = now + std::chrono::milliseconds(remaining_ms);
