--- a/tests/core_rules_test.cpp
+++ b/tests/core_rules_test.cpp
@@ -11,7 +11,7 @@
 
 using namespace bankmux::core;
 using bankmux::test::FakeTime;
-using eiderarch::test::Draw;
+using eiderarch::test::RandomSource;
 using namespace std::chrono_literals;
 
 namespace {
@@ -113,7 +113,7 @@
     later(draw.time(1, 300), [this, done = std::move(done)] {
       AttemptResult result;
       result.verdict = draw.chance(0.8) ? Verdict::served : Verdict::broken;
-      result.report = eiderarch::test::drawn_report(draw);
+      result.report = eiderarch::test::random_report(draw);
       done(result);
     });
   }
@@ -142,7 +142,7 @@
   }
 
   eiderarch::Settings s;
-  Draw draw;
+  RandomSource draw;
   FakeTime time;
   std::unique_ptr<Conductor> conductor;
   std::map<std::string, TrackedRequest> requests;
@@ -318,7 +318,7 @@
     result.verdict = verdict;
     result.progress = progress;
     result.found = draw.pick(0, 4000);
-    if (s.report_mode == eiderarch::ReportMode::answers) result.report = eiderarch::test::drawn_report(draw);
+    if (s.report_mode == eiderarch::ReportMode::answers) result.report = eiderarch::test::random_report(draw);
     attempt.events.on_ended(std::move(result));
   }
   void closed(SimulatedAttempt& attempt) {
@@ -366,7 +366,7 @@
 TEST_CASE("Core: the core and the decision module keep the rules with random settings and instances") {
   int served = 0;
   for (std::uint32_t seed = 1; seed <= 60; ++seed) {
-    SimulatedSite site(eiderarch::test::drawn_settings(seed), seed);
+    SimulatedSite site(eiderarch::test::random_settings(seed), seed);
     site.run(12s);
     served += site.served;
     INFO("seed " << seed);
--- a/tests/drawn_settings.hpp
+++ b/tests/drawn_settings.hpp
@@ -7,9 +7,9 @@
 
 namespace eiderarch::test {
 
-class Draw {
+class RandomSource {
  public:
-  explicit Draw(std::uint32_t seed) : rng_(seed) {}
+  explicit RandomSource(std::uint32_t seed) : rng_(seed) {}
   int pick(int low, int high) { return low + int(rng_() % std::uint32_t(high - low + 1)); }
   bool chance(double p) { return double(rng_() % 100000) < p * 100000; }
   double between(double low, double high) { return low + (high - low) * double(rng_() % 100001) / 100000; }
@@ -20,8 +20,8 @@
 };
 
 // Kind 0 prefills, 1 decodes, 2 (not in every configuration) does both.
-inline Settings drawn_settings(std::uint32_t seed) {
-  Draw draw(seed);
+inline Settings random_settings(std::uint32_t seed) {
+  RandomSource draw(seed);
   Settings s;
   s.seed = seed;
   s.zone = std::uint32_t(draw.pick(0, 2));
@@ -72,7 +72,7 @@
 }
 
 // A load report as an instance may send it, occasionally with invalid values.
-inline LoadReport drawn_report(Draw& draw) {
+inline LoadReport random_report(RandomSource& draw) {
   LoadReport report;
   const double invalid[] = {-1.0, 1e300, -1e300, 0.0};
   for (const ReportField field : {ReportField::in_flight, ReportField::queued, ReportField::memory_share,
--- a/tests/estimates_test.cpp
+++ b/tests/estimates_test.cpp
@@ -13,7 +13,7 @@
 namespace {
 
 TEST(PrefixTable, IsALeastRecentlyUsedListOfBoundedLength) {
-  Draw draw(11);
+  RandomSource draw(11);
   PrefixTable table;
   std::list<std::pair<Key, Tokens>> reference;  // most recently used first
   for (int i = 0; i < 20000; ++i) {
@@ -33,7 +33,7 @@
 
 TEST(Quotas, NoWindowExceedsTheShareAndTheBurst) {
   for (std::uint32_t seed = 1; seed <= 20; ++seed) {
-    Draw draw(seed);
+    RandomSource draw(seed);
     Quotas quotas;
     const double rate = draw.between(0.2, 4.0);
     std::vector<Time> taken;
--- a/tests/ownership_test.cpp
+++ b/tests/ownership_test.cpp
@@ -224,7 +224,7 @@
 // take effect in the order of their tokens.
 TEST_CASE("Ownership: random faults never give two owners or apply writes out of token order") {
   for (std::uint32_t seed = 1; seed <= 40; ++seed) {
-    eiderarch::test::Draw draw(seed);
+    eiderarch::test::RandomSource draw(seed);
     Fleet fleet;
     for (const char* name : {"a", "b", "c", "d"}) fleet.add_member(name);
     struct Late {
@@ -356,7 +356,7 @@
   MemoryStore reference;
   // A new file starts at the revision that recording the boot ID gave it.
   const auto first = one.transact({{}, {}, {}}).revision;
-  eiderarch::test::Draw draw(3);
+  eiderarch::test::RandomSource draw(3);
   std::vector<std::pair<coordination::LeaseId, coordination::LeaseId>> leases;
   for (int i = 0; i < 250; ++i) {
     Client& client = draw.chance(0.5) ? one : two;
--- a/tests/random_test.cpp
+++ b/tests/random_test.cpp
@@ -53,7 +53,7 @@
   [[nodiscard]] LoadReport report(bool probed) {
     const bool reported =
         s_.report_mode == ReportMode::answers || (probed && s_.report_mode != ReportMode::none);
-    return reported ? drawn_report(draw_) : LoadReport{};
+    return reported ? random_report(draw_) : LoadReport{};
   }
 
   void give(const std::vector<Event>& events) {
@@ -211,7 +211,7 @@
   Settings s_;
   Router router_;
   RuleChecker checker_;
-  Draw draw_;
+  RandomSource draw_;
   Time now_{3s};
   Time last_deadline_{0};
   RequestId next_ = 1;
@@ -249,7 +249,7 @@
 TEST_P(DrawnSettings, KeepTheRules) {
   for (int configuration = 0; configuration < 8; ++configuration) {
     const auto seed = std::uint32_t(GetParam() * 100 + configuration);
-    RandomEventSource source(drawn_settings(seed), seed);
+    RandomEventSource source(random_settings(seed), seed);
     source.run(2000);
     for (const std::string& fault : source.faults())
       ADD_FAILURE() << "configuration " << seed << ": " << fault;
