--- a/tests/estimates_test.cpp
+++ b/tests/estimates_test.cpp
@@ -184,10 +184,10 @@
   for (RequestId id = 1; id <= kWarmUpRequests + kCountedRequests; ++id) {
     f.arrive(id, 0, 6000);
     const EngineId prefill_instance = f.sent().value_or(0);
-    EXPECT_TRUE(reads(prefill_instance));
-    at_second += id > kWarmUpRequests && prefill_instance == kReaderB;
+    EXPECT_TRUE(is_prefill_instance(prefill_instance));
+    at_second += id > kWarmUpRequests && prefill_instance == kPrefillB;
     f.end(id, 0, prefill_instance, Outcome::state_held,
-          prefill_instance == kReaderA ? cached_at_first : cached_at_second);
+          prefill_instance == kPrefillA ? cached_at_first : cached_at_second);
     f.end(id, 1, f.sent().value_or(0), Outcome::served, 0, true);
     f.run(100ms);
   }
--- a/tests/front.hpp
+++ b/tests/front.hpp
@@ -15,10 +15,10 @@
 
 using namespace std::chrono_literals;
 
-constexpr EngineId kReaderA = 11;
-constexpr EngineId kReaderB = 12;
-constexpr EngineId kWriterA = 21;
-constexpr EngineId kWriterB = 22;
+constexpr EngineId kPrefillA = 11;
+constexpr EngineId kPrefillB = 12;
+constexpr EngineId kDecodeA = 21;
+constexpr EngineId kDecodeB = 22;
 constexpr EngineId kMixed = 31;
 
 // Two prefill instances, two decode instances and one of both roles, in two cells. Classes: safe, keyed
@@ -63,7 +63,7 @@
 }
 
 inline std::vector<EngineEntry> plain_list() {
-  return {entry(kReaderA, 0, 0), entry(kReaderB, 0, 1), entry(kWriterA, 1, 0), entry(kWriterB, 1, 1)};
+  return {entry(kPrefillA, 0, 0), entry(kPrefillB, 0, 1), entry(kDecodeA, 1, 0), entry(kDecodeB, 1, 1)};
 }
 
 class Front {
@@ -137,7 +137,7 @@
     arrive(id, cls, prompt, session);
     int attempt = 0;
     std::optional<EngineId> to = sent();
-    if (to && (*to == kReaderA || *to == kReaderB)) {
+    if (to && (*to == kPrefillA || *to == kPrefillB)) {
       end(id, attempt++, *to, Outcome::state_held, kept);
       to = sent();
     }
@@ -175,7 +175,7 @@
   std::set<std::pair<Time, std::uint64_t>> timers_;
 };
 
-inline bool reads(std::optional<EngineId> id) { return id == kReaderA || id == kReaderB; }
-inline bool writes(std::optional<EngineId> id) { return id == kWriterA || id == kWriterB; }
+inline bool is_prefill_instance(std::optional<EngineId> id) { return id == kPrefillA || id == kPrefillB; }
+inline bool is_decode_instance(std::optional<EngineId> id) { return id == kDecodeA || id == kDecodeB; }
 
 }  // namespace eiderarch::test
--- a/tests/nearness_test.cpp
+++ b/tests/nearness_test.cpp
@@ -19,7 +19,7 @@
   s.prices.cross_zone = cross_zone_price;
   s.prices.far_tokens = far_tokens;
   s.report_mode = ReportMode::answers;
-  return Front(s, {entry(kReaderA, 0, 0), entry(kWriterA, 1, 0), entry(kFarPrefill, 0, 1),
+  return Front(s, {entry(kPrefillA, 0, 0), entry(kDecodeA, 1, 0), entry(kFarPrefill, 0, 1),
                    entry(kFarDecodeA, 1, 1), entry(kFarDecodeB, 1, 1)});
 }
 
@@ -39,46 +39,47 @@
   int near = 0;
   for (RequestId id = 100; id < 110; ++id) {
     f.arrive(id, 0, 50);
-    near += f.sent() == kWriterA;
+    near += f.sent() == kDecodeA;
   }
   return near;
 }
 
 TEST(Nearness, ADecodeInstanceOfTheOwnZoneWithFreeMemoryComesFirst) {
   Front f = two_zones(0.02);
-  serve_and_report(f, 1, kWriterA, 0.3);
+  serve_and_report(f, 1, kDecodeA, 0.3);
   EXPECT_EQ(own_zone_requests(f), 10) << "each of the others pays for crossing zones";
 }
 
 TEST(Nearness, AFullDecodeInstanceOfTheOwnZoneSharesWithTheOthers) {
   Front f = two_zones(0.02);
-  serve_and_report(f, 1, kWriterA, 0.95);
+  serve_and_report(f, 1, kDecodeA, 0.95);
   EXPECT_LT(own_zone_requests(f), 6);
 }
 
 TEST(Nearness, AnOldMemoryReportIsIgnored) {
   Front f = two_zones(0.02);
-  serve_and_report(f, 1, kWriterA, 0.3);
+  serve_and_report(f, 1, kDecodeA, 0.3);
   f.run(2s);
   EXPECT_LT(own_zone_requests(f), 6);
 }
 
 TEST(Nearness, LoadIsSpreadWhereCrossingZonesIsCheap) {
   Front f = two_zones(0.005);
-  serve_and_report(f, 1, kWriterA, 0.3);
+  serve_and_report(f, 1, kDecodeA, 0.3);
   EXPECT_LT(own_zone_requests(f), 6);
 }
 
 TEST(Nearness, OwnRequestsSinceTheReportCountAsMemoryUsed) {
   Front f = two_zones(0.02);
-  serve_and_report(f, 1, kWriterA, 0.5);
+  serve_and_report(f, 1, kDecodeA, 0.5);
   int near = 0;
   for (RequestId id = 100; id < 160; ++id) {
     f.arrive(id, 0, 1000);  // about 1,050 tokens each in a memory of 100,000
-    if (const auto prefill_instance = f.sent(); reads(prefill_instance) || prefill_instance == kFarPrefill) {
+    if (const auto prefill_instance = f.sent();
+        is_prefill_instance(prefill_instance) || prefill_instance == kFarPrefill) {
       f.end(id, 0, *prefill_instance, Outcome::state_held);
     }
-    near += f.sent() == kWriterA;
+    near += f.sent() == kDecodeA;
   }
   EXPECT_GT(near, 20);
   EXPECT_LT(near, 45) << "from a memory share of 0.8 the others get their part";
@@ -91,8 +92,8 @@
     for (RequestId id = 1; id <= 20; ++id) {
       f.arrive(id, 0, 3000);
       const auto prefill_instance = f.sent();
-      ASSERT_TRUE(prefill_instance == kReaderA || prefill_instance == kFarPrefill);
-      near += prefill_instance == kReaderA;
+      ASSERT_TRUE(prefill_instance == kPrefillA || prefill_instance == kFarPrefill);
+      near += prefill_instance == kPrefillA;
       f.end(id, 0, *prefill_instance, Outcome::state_held);
       f.stream(id, 1, *f.sent());
       f.end(id, 1, *f.sent(), Outcome::served, 0, true);
@@ -122,7 +123,7 @@
   }
   for (const auto& [id, at] : prefill_instance) {
     f.end(id, 0, at, Outcome::state_held);
-    far += (at == kReaderA) != (f.sent() == kWriterA);
+    far += (at == kPrefillA) != (f.sent() == kDecodeA);
   }
   return far;
 }
--- a/tests/random_test.cpp
+++ b/tests/random_test.cpp
@@ -24,8 +24,8 @@
  public:
   RandomEventSource(const Settings& settings, std::uint32_t seed)
       : s_(settings), router_(settings), checker_(settings), draw_(seed) {
-    list_ = {entry(kReaderA, 0, 0), entry(kReaderB, 0, 1), entry(13, 0, 2),
-             entry(kWriterA, 1, 0), entry(kWriterB, 1, 1), entry(23, 1, 2)};
+    list_ = {entry(kPrefillA, 0, 0), entry(kPrefillB, 0, 1), entry(13, 0, 2),
+             entry(kDecodeA, 1, 0),  entry(kDecodeB, 1, 1),  entry(23, 1, 2)};
     if (s_.kinds.size() > 2) list_.push_back(entry(kMixed, 2, 0));
     give({ListChanged{ListScope::disk, list_}});
   }
@@ -130,7 +130,7 @@
   }
 
   bool ends(ActiveAttempt& out, std::vector<Event>& events) {
-    const bool prefill = out.engine < kWriterA;
+    const bool prefill = out.engine < kDecodeA;
     const Time deadline = deadlines_.at(out.id);
     AttemptEnded e;
     e.id = out.id;
@@ -278,9 +278,9 @@
   auto list = plain_list();
   list[3].state = EngineState::draining;
   checker.saw(1s, {ListChanged{ListScope::disk, list}, r});
-  checker.did(1s, {Send{1, kWriterA, 0s}});
-  checker.saw(2s, {AttemptEnded{1, 0, kWriterA, Outcome::error, 1s, false, 0, {}}});
-  checker.did(2s, {Send{1, kWriterB, 0s}});
+  checker.did(1s, {Send{1, kDecodeA, 0s}});
+  checker.saw(2s, {AttemptEnded{1, 0, kDecodeA, Outcome::error, 1s, false, 0, {}}});
+  checker.did(2s, {Send{1, kDecodeB, 0s}});
   EXPECT_EQ(checker.faults().size(), 2U);  // an unsafe repeat, to a draining instance
   checker.did(2s, {Refuse{1, 0s}, Fail{1}});
   EXPECT_GE(checker.faults().size(), 4U);
@@ -298,12 +298,12 @@
   unsafe.request_class = 2;
   safe.deadline = unsafe.deadline = 5s;
   checker.saw(1s, {ListChanged{ListScope::disk, plain_list()}, safe, unsafe});
-  checker.did(1s, {Send{1, kWriterA, 0s}, Send{1, kWriterB, 0s}, Send{2, kWriterA, 0s}});
+  checker.did(1s, {Send{1, kDecodeA, 0s}, Send{1, kDecodeB, 0s}, Send{2, kDecodeA, 0s}});
   EXPECT_TRUE(checker.faults().empty());
   // A second copy, and a repeat of a request that may have run.
-  checker.did(1s, {Send{2, kWriterB, 0s}});
+  checker.did(1s, {Send{2, kDecodeB, 0s}});
   EXPECT_EQ(checker.faults().size(), 2U);
-  checker.saw(2s, {AttemptEnded{1, 0, kWriterA, Outcome::busy, 1s, false, 0, {}}});
+  checker.saw(2s, {AttemptEnded{1, 0, kDecodeA, Outcome::busy, 1s, false, 0, {}}});
   checker.did(2s, {Refuse{1, 1500ms}});
   EXPECT_EQ(checker.faults().size(), 3U);  // advice above the longest allowed
   checker.did(2s, {Move{2}});
--- a/tests/router_ending_test.cpp
+++ b/tests/router_ending_test.cpp
@@ -69,11 +69,11 @@
   f.arrive(1);
   f.end(1, 0, *f.sent(), Outcome::state_held);
   const auto decode_instance = f.sent();
-  ASSERT_TRUE(writes(decode_instance));
+  ASSERT_TRUE(is_decode_instance(decode_instance));
   f.now += 250ms;
   f.give({AttemptEnded{1, 1, *decode_instance, Outcome::not_connected, 250ms, false, 0, {}}});
   EXPECT_GE(f.count<Release>(), 1);
-  EXPECT_FALSE(writes(f.sent())) << "another unreachable instance would take 250 ms more";
+  EXPECT_FALSE(is_decode_instance(f.sent())) << "another unreachable instance would take 250 ms more";
 }
 
 TEST(HeldCache, GoesToAnotherDecodeInstanceAtOnceIfTheFirstAnswersOrFailsQuickly) {
@@ -86,7 +86,7 @@
     f.now += after;
     f.give({AttemptEnded{1, 1, *decode_instance, outcome, after, false, 0, {}}});
     EXPECT_EQ(f.count<Release>(), 0);
-    ASSERT_TRUE(writes(f.sent()));
+    ASSERT_TRUE(is_decode_instance(f.sent()));
     EXPECT_NE(f.sent(), decode_instance);
   }
 }
--- a/tests/router_list_test.cpp
+++ b/tests/router_list_test.cpp
@@ -9,20 +9,20 @@
 
 TEST(Lists, ADrainingInstanceGetsNoNewRequests) {
   Front f;
-  auto draining = entry(kReaderA, 0, 0);
+  auto draining = entry(kPrefillA, 0, 0);
   draining.state = EngineState::draining;
   f.give({ListChanged{ListScope::changes, {draining}}});
   for (RequestId id = 1; id < 6; ++id) {
     f.arrive(id);
-    EXPECT_NE(f.sent(), kReaderA);
+    EXPECT_NE(f.sent(), kPrefillA);
   }
 }
 
 TEST(Lists, AnInstanceMissingFromACompleteListIsGone) {
   Front f;
-  f.give({ListChanged{ListScope::complete, {entry(kReaderB, 0, 1), entry(kWriterB, 1, 1)}}});
+  f.give({ListChanged{ListScope::complete, {entry(kPrefillB, 0, 1), entry(kDecodeB, 1, 1)}}});
   f.arrive(1);
-  EXPECT_EQ(f.sent(), kReaderB);
+  EXPECT_EQ(f.sent(), kPrefillB);
 }
 
 TEST(Lists, FailuresCorrectAStaleListFromDisk) {
@@ -46,15 +46,15 @@
 }
 
 TEST(Lists, WithoutPrefillInstancesTheDecodeInstancePrefills) {
-  Front f(plain_settings(), {entry(kWriterA, 1, 0)});
+  Front f(plain_settings(), {entry(kDecodeA, 1, 0)});
   f.arrive(1);
-  EXPECT_EQ(f.sent(), kWriterA);
+  EXPECT_EQ(f.sent(), kDecodeA);
 }
 
 TEST(Lists, ADecodeInstanceThatCannotPrefillNeverDoes) {
   Settings s = plain_settings();
   s.writers_read = false;
-  Front f(s, {entry(kWriterA, 1, 0)});
+  Front f(s, {entry(kDecodeA, 1, 0)});
   f.arrive(1);
   f.run(7s);
   EXPECT_EQ(f.logged<Send>(), 0);
@@ -65,13 +65,13 @@
   Settings s = plain_settings();
   auto list = plain_list();
   Front f(s, {list[0], list[2], list[3]});
-  auto new_entry = entry(kReaderB, 0, 1);
+  auto new_entry = entry(kPrefillB, 0, 1);
   new_entry.started = f.now;
   f.give({ListChanged{ListScope::changes, {new_entry}}});
   int to_new = 0;
   for (RequestId id = 1; id <= 10; ++id) {
     f.arrive(id);
-    to_new += f.sent() == kReaderB;
+    to_new += f.sent() == kPrefillB;
   }
   EXPECT_LE(to_new, 4);
 }
--- a/tests/router_path_test.cpp
+++ b/tests/router_path_test.cpp
@@ -14,15 +14,15 @@
   Front f;
   f.arrive(1);
   const auto prefill_instance = f.sent();
-  ASSERT_TRUE(reads(prefill_instance));
+  ASSERT_TRUE(is_prefill_instance(prefill_instance));
   f.end(1, 0, *prefill_instance, Outcome::state_held);
-  EXPECT_TRUE(writes(f.sent()));
+  EXPECT_TRUE(is_decode_instance(f.sent()));
 }
 
 TEST(Dispatch, ShortPromptIsPrefilledWhereItIsDecoded) {
   Front f;
   f.arrive(1, 0, 50);
-  EXPECT_TRUE(writes(f.sent()));
+  EXPECT_TRUE(is_decode_instance(f.sent()));
 }
 
 TEST(Dispatch, ShortRemainderGoesToTheDecodeInstanceThatCachesTheSession) {
@@ -65,7 +65,7 @@
     Front f;
     f.arrive(1, 2);
     const auto first = f.sent();
-    ASSERT_TRUE(reads(first));
+    ASSERT_TRUE(is_prefill_instance(first));
     f.end(1, 0, *first, outcome);
     ASSERT_TRUE(f.sent().has_value());
     EXPECT_NE(f.sent(), first);
@@ -97,24 +97,24 @@
 }
 
 TEST(Links, ASlowLinkKeepsPrefillInTheDecodeInstancesCell) {
-  Front f(plain_settings(), {entry(kReaderA, 0, 0), entry(kReaderB, 0, 1), entry(kWriterA, 1, 0)});
+  Front f(plain_settings(), {entry(kPrefillA, 0, 0), entry(kPrefillB, 0, 1), entry(kDecodeA, 1, 0)});
   // While the near prefill instance is busy the far one is used, until first tokens after its transfers come
   // late.
   int far_before = 0;
   for (RequestId id = 1; id <= 4; ++id) {
     f.arrive(id);
-    far_before += f.sent() == kReaderB;
+    far_before += f.sent() == kPrefillB;
   }
   ASSERT_GT(far_before, 0);
   for (RequestId id = 1; id <= 4; ++id) {
-    for (const EngineId prefill_instance : {kReaderA, kReaderB})
+    for (const EngineId prefill_instance : {kPrefillA, kPrefillB})
       f.end(id, 0, prefill_instance, Outcome::state_held);
   }
-  for (RequestId id = 1; id <= 4; ++id) f.give({StreamStarted{id, 1, kWriterA, 4s}});
+  for (RequestId id = 1; id <= 4; ++id) f.give({StreamStarted{id, 1, kDecodeA, 4s}});
   int far_after = 0;
   for (RequestId id = 11; id <= 13; ++id) {
     f.arrive(id);
-    far_after += f.sent() == kReaderB;
+    far_after += f.sent() == kPrefillB;
   }
   EXPECT_EQ(far_after, 0);
 }
@@ -216,7 +216,7 @@
   for (int round = 0; round < 50 && f.logged<Send>() == 0; ++round) {
     std::vector<Event> ends;
     for (const EngineId engine : probed_instances({f.log.begin() + std::ptrdiff_t(answered), f.log.end()})) {
-      const bool runs = engine == kReaderB || engine == kWriterB;
+      const bool runs = engine == kPrefillB || engine == kDecodeB;
       if (!runs) gone.insert(engine);
       ends.push_back(ProbeEnded{engine, runs ? Outcome::served : Outcome::not_connected, 1ms, {}});
     }
@@ -224,7 +224,7 @@
     ends.empty() ? f.run(20ms) : void(f.give(ends));
   }
   EXPECT_FALSE(gone.empty());
-  EXPECT_EQ(f.sent(), kReaderB);
+  EXPECT_EQ(f.sent(), kPrefillB);
 }
 
 TEST(HomeInstances, IndependentFrontsPrefillASessionAtTheSameInstance) {
@@ -306,7 +306,7 @@
     f.arrive(id);
     const auto first = f.sent();
     admitted += id > kWarmUpRequests && first.has_value();
-    if (reads(first)) {
+    if (is_prefill_instance(first)) {
       f.give({AttemptEnded{id, 0, *first, Outcome::state_held, prefill_time, false, 0, {}}});
       f.end(id, 1, f.sent().value_or(0), Outcome::served, 0, true);
     } else if (first) {
--- a/tests/router_retry_test.cpp
+++ b/tests/router_retry_test.cpp
@@ -115,7 +115,7 @@
     f.end(1, 0, *f.sent(), Outcome::state_held);
     const auto first = f.sent();
     f.end(1, 1, *first, outcome);
-    EXPECT_TRUE(writes(f.sent()));
+    EXPECT_TRUE(is_decode_instance(f.sent()));
     EXPECT_NE(f.sent(), first);
   }
 }
@@ -139,7 +139,7 @@
     EXPECT_EQ(std::get<Send>(f.last.front()).by, window);
     // The KV cache is gone, so the prompt is prefilled again.
     f.end(1, 2, decode_instance, Outcome::busy, 1);
-    const EngineId prefill_instance = decode_instance == kWriterA ? kReaderA : kReaderB;
+    const EngineId prefill_instance = decode_instance == kDecodeA ? kPrefillA : kPrefillB;
     ASSERT_EQ(f.sent(), prefill_instance);
     f.now = window - 10ms;
     f.end(1, 3, prefill_instance, Outcome::error);
@@ -149,12 +149,12 @@
 }
 
 TEST(Decode, AnAttemptThatDidNotRunDoesNotRestrictTheGroup) {
-  Front f(plain_settings(), {entry(kReaderA, 0, 0), entry(kWriterA, 1, 0), entry(kWriterB, 1, 1)});
+  Front f(plain_settings(), {entry(kPrefillA, 0, 0), entry(kDecodeA, 1, 0), entry(kDecodeB, 1, 1)});
   f.arrive(1, 1);
-  f.end(1, 0, kReaderA, Outcome::state_held);
+  f.end(1, 0, kPrefillA, Outcome::state_held);
   const EngineId first = *f.sent();
   f.end(1, 1, first, Outcome::not_connected);
-  EXPECT_EQ(f.sent(), first == kWriterA ? kWriterB : kWriterA);
+  EXPECT_EQ(f.sent(), first == kDecodeA ? kDecodeB : kDecodeA);
 }
 
 TEST(Decode, AKeyedRequestIsRetriedOnlyInItsCell) {
@@ -174,7 +174,7 @@
   f.end(1, 0, *f.sent(), Outcome::state_held);
   f.end(1, 1, *f.sent(), Outcome::busy, 1);
   EXPECT_EQ(f.count<Release>(), 1);
-  EXPECT_TRUE(reads(f.sent()));
+  EXPECT_TRUE(is_prefill_instance(f.sent()));
 }
 
 TEST(Decode, AnotherInstanceFetchesTheCacheIfTheFirstIsFull) {
@@ -183,7 +183,7 @@
   f.end(1, 0, *f.sent(), Outcome::state_held);
   const auto first = f.sent();
   f.end(1, 1, *first, Outcome::busy);
-  EXPECT_TRUE(writes(f.sent()));
+  EXPECT_TRUE(is_decode_instance(f.sent()));
   EXPECT_NE(f.sent(), first);
   EXPECT_EQ(f.count<Release>(), 0);
 }
@@ -192,11 +192,11 @@
   Front f;
   f.arrive(1);
   const auto prefill_instance = f.sent();
-  auto gone = entry(kWriterA, 1, 0);
+  auto gone = entry(kDecodeA, 1, 0);
   gone.state = EngineState::gone;
   f.give({ListChanged{ListScope::changes, {gone}}});
   f.end(1, 0, *prefill_instance, Outcome::state_held);
-  EXPECT_EQ(f.sent(), kWriterB);
+  EXPECT_EQ(f.sent(), kDecodeB);
 }
 
 // Number of retries when every prefill fails, for requests that arrive at intervals of `gap` for ten seconds.
@@ -222,14 +222,14 @@
 }
 
 TEST(Health, ADecodeInstanceFailingOneClassIsAvoidedForThatClassOnly) {
-  Front f(plain_settings(), {entry(kReaderA, 0, 0), entry(kWriterA, 1, 0), entry(kWriterB, 1, 0)});
+  Front f(plain_settings(), {entry(kPrefillA, 0, 0), entry(kDecodeA, 1, 0), entry(kDecodeB, 1, 0)});
   // One decode instance never answers class 0; both answer class 1.
   RequestId id = 1;
   std::optional<EngineId> failing_instance;
   int repeated_failures = 0;
   for (int i = 0; i < 12; ++i, ++id) {
     f.arrive(id, i % 2 == 0 ? 0U : 1U, 100);
-    ASSERT_TRUE(writes(f.sent()));
+    ASSERT_TRUE(is_decode_instance(f.sent()));
     const EngineId to = *f.sent();
     if (i % 2 == 0 && (!failing_instance || to == *failing_instance)) {
       repeated_failures += failing_instance.has_value();
@@ -254,9 +254,9 @@
   int failed = 0;
   for (RequestId id = 1; id <= 30; ++id) {
     f.arrive(id, 2, 100);  // unsafe, prefilled where it is decoded
-    if (f.sent() != kWriterB) continue;
+    if (f.sent() != kDecodeB) continue;
     ++failed;
-    f.end(id, 0, kWriterB, Outcome::error);
+    f.end(id, 0, kDecodeB, Outcome::error);
     f.run(20ms);
   }
   EXPECT_GE(failed, 1);
@@ -283,7 +283,7 @@
     Front f(settings);
     for (RequestId id = 1; id < 9; ++id) f.serve(id);
     f.arrive(20);
-    ASSERT_TRUE(reads(f.sent()));
+    ASSERT_TRUE(is_prefill_instance(f.sent()));
     f.run(900ms);
     EXPECT_EQ(f.logged<Cancel>(), aim < 1s ? 1 : 0);
     f.run(1300ms);
