--- a/tests/estimates_test.cpp
+++ b/tests/estimates_test.cpp
@@ -179,7 +179,7 @@
 // number of cached tokens. Returns how many of the last ten go to the second one.
 int prefills_at_second(Tokens cached_at_first, Tokens cached_at_second) {
   constexpr RequestId kWarmUpRequests = 24, kCountedRequests = 10;
-  Front f;
+  RouterHarness f;
   int at_second = 0;
   for (RequestId id = 1; id <= kWarmUpRequests + kCountedRequests; ++id) {
     f.arrive(id, 0, 6000);
--- a/tests/front.hpp
+++ b/tests/front.hpp
@@ -66,17 +66,18 @@
   return {entry(kPrefillA, 0, 0), entry(kPrefillB, 0, 1), entry(kDecodeA, 1, 0), entry(kDecodeB, 1, 1)};
 }
 
-class Front {
+class RouterHarness {
  public:
-  explicit Front(const Settings& settings = plain_settings(), std::vector<EngineEntry> list = plain_list())
+  explicit RouterHarness(const Settings& settings = plain_settings(),
+                         std::vector<EngineEntry> list = plain_list())
       : router_(settings), checker_(settings) {
     give({ListChanged{ListScope::disk, std::move(list)}});
   }
-  ~Front() {
+  ~RouterHarness() {
     for (const std::string& fault : checker_.faults()) ADD_FAILURE() << fault;
   }
-  Front(Front&&) = delete;
-  Front& operator=(const Front&) = delete;
+  RouterHarness(RouterHarness&&) = delete;
+  RouterHarness& operator=(const RouterHarness&) = delete;
 
   std::vector<Action> give(const std::vector<Event>& events) {
     checker_.saw(now, events);
--- a/tests/nearness_test.cpp
+++ b/tests/nearness_test.cpp
@@ -13,18 +13,18 @@
 constexpr EngineId kFarDecodeA = 41, kFarDecodeB = 42, kFarPrefill = 43;
 
 // The front's zone 0 has a prefill and a decode instance, zone 1 a prefill and two decode instances.
-Front two_zones(double cross_zone_price, double far_tokens = 0.0, std::uint32_t fronts = 2) {
+RouterHarness two_zones(double cross_zone_price, double far_tokens = 0.0, std::uint32_t fronts = 2) {
   Settings s = plain_settings();
   s.fronts = fronts;
   s.prices.cross_zone = cross_zone_price;
   s.prices.far_tokens = far_tokens;
   s.report_mode = ReportMode::answers;
-  return Front(s, {entry(kPrefillA, 0, 0), entry(kDecodeA, 1, 0), entry(kFarPrefill, 0, 1),
-                   entry(kFarDecodeA, 1, 1), entry(kFarDecodeB, 1, 1)});
+  return RouterHarness(s, {entry(kPrefillA, 0, 0), entry(kDecodeA, 1, 0), entry(kFarPrefill, 0, 1),
+                           entry(kFarDecodeA, 1, 1), entry(kFarDecodeB, 1, 1)});
 }
 
 // Serves a short request at the decode instance, whose answer reports its memory share.
-void serve_and_report(Front& f, RequestId id, EngineId decode_instance, double share) {
+void serve_and_report(RouterHarness& f, RequestId id, EngineId decode_instance, double share) {
   f.arrive(id, 0, 50);
   for (; f.sent() != decode_instance; f.arrive(++id, 0, 50)) {  // the others stay open elsewhere
     ASSERT_LT(id, 50U);
@@ -35,7 +35,7 @@
 }
 
 // How many of ten short requests that stay open go to the own zone's decode instance.
-int own_zone_requests(Front& f) {
+int own_zone_requests(RouterHarness& f) {
   int near = 0;
   for (RequestId id = 100; id < 110; ++id) {
     f.arrive(id, 0, 50);
@@ -45,32 +45,32 @@
 }
 
 TEST(Nearness, ADecodeInstanceOfTheOwnZoneWithFreeMemoryComesFirst) {
-  Front f = two_zones(0.02);
+  RouterHarness f = two_zones(0.02);
   serve_and_report(f, 1, kDecodeA, 0.3);
   EXPECT_EQ(own_zone_requests(f), 10) << "each of the others pays for crossing zones";
 }
 
 TEST(Nearness, AFullDecodeInstanceOfTheOwnZoneSharesWithTheOthers) {
-  Front f = two_zones(0.02);
+  RouterHarness f = two_zones(0.02);
   serve_and_report(f, 1, kDecodeA, 0.95);
   EXPECT_LT(own_zone_requests(f), 6);
 }
 
 TEST(Nearness, AnOldMemoryReportIsIgnored) {
-  Front f = two_zones(0.02);
+  RouterHarness f = two_zones(0.02);
   serve_and_report(f, 1, kDecodeA, 0.3);
   f.run(2s);
   EXPECT_LT(own_zone_requests(f), 6);
 }
 
 TEST(Nearness, LoadIsSpreadWhereCrossingZonesIsCheap) {
-  Front f = two_zones(0.005);
+  RouterHarness f = two_zones(0.005);
   serve_and_report(f, 1, kDecodeA, 0.3);
   EXPECT_LT(own_zone_requests(f), 6);
 }
 
 TEST(Nearness, OwnRequestsSinceTheReportCountAsMemoryUsed) {
-  Front f = two_zones(0.02);
+  RouterHarness f = two_zones(0.02);
   serve_and_report(f, 1, kDecodeA, 0.5);
   int near = 0;
   for (RequestId id = 100; id < 160; ++id) {
@@ -87,7 +87,7 @@
 
 TEST(Nearness, HomeInstancesAreInTheOwnZoneWhereCrossingIsExpensive) {
   for (const double cross_zone_price : {0.02, 0.0}) {
-    Front f = two_zones(cross_zone_price);
+    RouterHarness f = two_zones(cross_zone_price);
     int near = 0;
     for (RequestId id = 1; id <= 20; ++id) {
       f.arrive(id, 0, 3000);
@@ -106,7 +106,7 @@
 TEST(Nearness, WithoutReportsCrossingZonesCountsByItsPrice) {
   int near[2] = {0, 0};
   for (const int expensive : {0, 1}) {
-    Front f = two_zones(expensive == 1 ? 0.02 : 0.0);
+    RouterHarness f = two_zones(expensive == 1 ? 0.02 : 0.0);
     near[expensive] = own_zone_requests(f);
   }
   EXPECT_LE(near[0], 4);
@@ -114,7 +114,7 @@
 }
 
 // How many of twelve concurrent prefills are in another cell than their decode instance.
-int cross_cell_prefills(Front f) {
+int cross_cell_prefills(RouterHarness f) {
   int far = 0;
   std::map<RequestId, EngineId> prefill_instance;
   for (RequestId id = 1; id <= 12; ++id) {
--- a/tests/router_ending_test.cpp
+++ b/tests/router_ending_test.cpp
@@ -8,14 +8,14 @@
 namespace {
 
 TEST(Ending, DeadlineOfAWaitingRequestIsAnswered) {
-  Front f(plain_settings(), {});
+  RouterHarness f(plain_settings(), {});
   f.arrive(1);
   f.run(7s);
   EXPECT_EQ(f.logged<Refuse>() + f.logged<Fail>(), 1);
 }
 
 TEST(Ending, ATimeOutAtTheDeadlineIsAnswered) {
-  Front f;
+  RouterHarness f;
   f.arrive(1, 2);
   f.end(1, 0, *f.sent(), Outcome::state_held);
   const auto decode_instance = f.sent();
@@ -25,7 +25,7 @@
 }
 
 TEST(Ending, AClientThatLeavesCancelsItsAttemptAndReleasesTheCache) {
-  Front f;
+  RouterHarness f;
   f.arrive(1);
   const auto prefill_instance = f.sent();
   f.give({RequestGone{1}});
@@ -36,7 +36,7 @@
 }
 
 TEST(Ending, AClientThatLeavesAfterTheFinalAnswerIsIgnored) {
-  Front f(plain_settings(), {});
+  RouterHarness f(plain_settings(), {});
   f.arrive(1);
   f.run(7s);
   f.give({RequestGone{1}});
@@ -44,7 +44,7 @@
 }
 
 TEST(Ending, UnknownIdsAreIgnored) {
-  Front f;
+  RouterHarness f;
   Router router(plain_settings());
   const auto actions = router.handle(
       1s, {AttemptEnded{}, StreamStarted{}, RequestGone{9}, PlaceAnswer{}, TimerFired{99}, ProbeEnded{}});
@@ -52,7 +52,7 @@
 }
 
 TEST(Timers, AFrontWithOnlyStreamsSetsNoTimers) {
-  Front f;
+  RouterHarness f;
   f.arrive(1);
   f.end(1, 0, *f.sent(), Outcome::state_held);
   f.stream(1, 1, *f.sent());
@@ -65,7 +65,7 @@
 // Guards against a KV cache that is held too long: three unreachable decode instances in a row took 250 ms
 // each to fail and kept it for 0.75 s.
 TEST(HeldCache, IsReleasedInTimeIfDecodeInstancesAreUnreachable) {
-  Front f;  // 300 ms to release it
+  RouterHarness f;  // 300 ms to release it
   f.arrive(1);
   f.end(1, 0, *f.sent(), Outcome::state_held);
   const auto decode_instance = f.sent();
@@ -79,7 +79,7 @@
 TEST(HeldCache, GoesToAnotherDecodeInstanceAtOnceIfTheFirstAnswersOrFailsQuickly) {
   for (const auto& [outcome, after] :
        {std::pair{Outcome::not_connected, 2ms}, std::pair{Outcome::busy, 250ms}}) {
-    Front f;
+    RouterHarness f;
     f.arrive(1);
     f.end(1, 0, *f.sent(), Outcome::state_held);
     const auto decode_instance = f.sent();
--- a/tests/router_list_test.cpp
+++ b/tests/router_list_test.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 TEST(Lists, ADrainingInstanceGetsNoNewRequests) {
-  Front f;
+  RouterHarness f;
   auto draining = entry(kPrefillA, 0, 0);
   draining.state = EngineState::draining;
   f.give({ListChanged{ListScope::changes, {draining}}});
@@ -19,14 +19,14 @@
 }
 
 TEST(Lists, AnInstanceMissingFromACompleteListIsGone) {
-  Front f;
+  RouterHarness f;
   f.give({ListChanged{ListScope::complete, {entry(kPrefillB, 0, 1), entry(kDecodeB, 1, 1)}}});
   f.arrive(1);
   EXPECT_EQ(f.sent(), kPrefillB);
 }
 
 TEST(Lists, FailuresCorrectAStaleListFromDisk) {
-  Front f;
+  RouterHarness f;
   f.arrive(1);
   const auto unreachable = f.sent();
   f.end(1, 0, *unreachable, Outcome::not_connected);
@@ -38,7 +38,7 @@
 TEST(Lists, ASubscriptionIsRepeatedAfterAFailure) {
   Settings s = plain_settings();
   s.list_mode = ListMode::on_request;
-  Front f(s);
+  RouterHarness f(s);
   EXPECT_EQ(f.logged<Subscribe>(), 1);
   f.give({ListChanged{ListScope::failed, {}}});
   f.run(2s);
@@ -46,7 +46,7 @@
 }
 
 TEST(Lists, WithoutPrefillInstancesTheDecodeInstancePrefills) {
-  Front f(plain_settings(), {entry(kDecodeA, 1, 0)});
+  RouterHarness f(plain_settings(), {entry(kDecodeA, 1, 0)});
   f.arrive(1);
   EXPECT_EQ(f.sent(), kDecodeA);
 }
@@ -54,7 +54,7 @@
 TEST(Lists, ADecodeInstanceThatCannotPrefillNeverDoes) {
   Settings s = plain_settings();
   s.writers_read = false;
-  Front f(s, {entry(kDecodeA, 1, 0)});
+  RouterHarness f(s, {entry(kDecodeA, 1, 0)});
   f.arrive(1);
   f.run(7s);
   EXPECT_EQ(f.logged<Send>(), 0);
@@ -64,7 +64,7 @@
 TEST(SlowStart, ANewInstanceGetsFewRequests) {
   Settings s = plain_settings();
   auto list = plain_list();
-  Front f(s, {list[0], list[2], list[3]});
+  RouterHarness f(s, {list[0], list[2], list[3]});
   auto new_entry = entry(kPrefillB, 0, 1);
   new_entry.started = f.now;
   f.give({ListChanged{ListScope::changes, {new_entry}}});
@@ -85,7 +85,7 @@
   std::vector<EngineEntry> list;
   for (EngineId id = 1; id <= warm + 1; ++id) list.push_back(entry(id, 0, 0));
   for (EngineId id = 6; id <= 10; ++id) list.push_back(entry(id, 1, 0));
-  Front f(s, list);
+  RouterHarness f(s, list);
   list[0].started = f.now;
   f.give({ListChanged{ListScope::changes, {list[0]}}});
   for (RequestId id = 1; Duration(1s) * std::int64_t(id) <= length; ++id) {
--- a/tests/router_path_test.cpp
+++ b/tests/router_path_test.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 TEST(Dispatch, LongRemainderIsPrefilledElsewhereAndFetchedByTheDecodeInstance) {
-  Front f;
+  RouterHarness f;
   f.arrive(1);
   const auto prefill_instance = f.sent();
   ASSERT_TRUE(is_prefill_instance(prefill_instance));
@@ -20,20 +20,20 @@
 }
 
 TEST(Dispatch, ShortPromptIsPrefilledWhereItIsDecoded) {
-  Front f;
+  RouterHarness f;
   f.arrive(1, 0, 50);
   EXPECT_TRUE(is_decode_instance(f.sent()));
 }
 
 TEST(Dispatch, ShortRemainderGoesToTheDecodeInstanceThatCachesTheSession) {
-  Front f;
+  RouterHarness f;
   const EngineId decode_instance = f.serve(1, 0, 3000, 77);
   f.arrive(2, 0, 3020, 77);
   EXPECT_EQ(f.sent(), decode_instance);
 }
 
 TEST(Dispatch, CacheMatchDoesNotOutweighLoadAboveTheMedian) {
-  Front f;
+  RouterHarness f;
   const EngineId decode_instance = f.serve(1, 0, 3000, 77);
   // Streams pile up at the session's decode instance, so the session's next short turn must go elsewhere or
   // be prefilled again.
@@ -45,7 +45,7 @@
 }
 
 TEST(Dispatch, EvictedPrefixCorrectsTheTable) {
-  Front f;
+  RouterHarness f;
   const EngineId decode_instance = f.serve(1, 0, 3000, 77);
   for (RequestId id = 2; id < 4; ++id) {
     f.arrive(id, 0, 3000 + Tokens(id), 77);
@@ -62,7 +62,7 @@
 TEST(Prefill, EveryFailedPrefillIsRetriedElsewhere) {
   for (const Outcome outcome :
        {Outcome::error, Outcome::busy, Outcome::timed_out, Outcome::not_connected, Outcome::reset}) {
-    Front f;
+    RouterHarness f;
     f.arrive(1, 2);
     const auto first = f.sent();
     ASSERT_TRUE(is_prefill_instance(first));
@@ -73,7 +73,7 @@
 }
 
 TEST(Prefill, BrokenConnectionReleasesAPossiblyHeldCache) {
-  Front f;
+  RouterHarness f;
   f.arrive(1);
   const auto first = f.sent();
   f.end(1, 0, *first, Outcome::reset);
@@ -84,7 +84,7 @@
   Settings s = plain_settings();
   // 8,000 for each of two fronts: two prompts of 3,000 with their answers.
   s.kinds[1].memory = 16000;
-  Front f(s);
+  RouterHarness f(s);
   int sends = 0;
   for (RequestId id = 1; id <= 8; ++id) {
     f.arrive(id);
@@ -97,7 +97,7 @@
 }
 
 TEST(Links, ASlowLinkKeepsPrefillInTheDecodeInstancesCell) {
-  Front f(plain_settings(), {entry(kPrefillA, 0, 0), entry(kPrefillB, 0, 1), entry(kDecodeA, 1, 0)});
+  RouterHarness f(plain_settings(), {entry(kPrefillA, 0, 0), entry(kPrefillB, 0, 1), entry(kDecodeA, 1, 0)});
   // While the near prefill instance is busy the far one is used, until first tokens after its transfers come
   // late.
   int far_before = 0;
@@ -128,8 +128,8 @@
 }
 
 // A front that has received a list other than the one saved on disk.
-struct ListedFront : Front {
-  ListedFront() : Front(probe_settings()) { give({ListChanged{ListScope::complete, plain_list()}}); }
+struct ListedFront : RouterHarness {
+  ListedFront() : RouterHarness(probe_settings()) { give({ListChanged{ListScope::complete, plain_list()}}); }
 };
 
 // Instances that were sent a probe.
@@ -147,7 +147,7 @@
   for (const ReportMode mode : {ReportMode::none, ReportMode::answers}) {
     Settings s = probe_settings();
     s.report_mode = mode;
-    Front f(s);
+    RouterHarness f(s);
     f.give({ListChanged{ListScope::complete, plain_list()}});
     f.arrive(1);
     EXPECT_EQ(probed_instances(f.log).empty(), mode == ReportMode::none);
@@ -209,7 +209,7 @@
 }
 
 TEST(Reports, WithAListFromDiskInstancesThatAreGoneCostNoAttempt) {
-  Front f(probe_settings());
+  RouterHarness f(probe_settings());
   f.arrive(1);
   std::set<EngineId> gone;
   std::size_t answered = 0;
@@ -238,7 +238,7 @@
       Settings s = plain_settings();
       s.fronts = 100;
       s.seed = seed;
-      Front f(s, list);
+      RouterHarness f(s, list);
       f.arrive(1, 0, 3000, session, 9, 2000);
       of_session.insert(f.sent().value_or(0));
     }
@@ -263,7 +263,7 @@
 TEST(Reservation, NoneIsMadeIfThePrefillIsShortComparedWithTheAim) {
   Settings s = plain_settings();
   s.claim_ahead = true;
-  Front f(s);
+  RouterHarness f(s);
   f.arrive(1);
   ASSERT_TRUE(f.sent().has_value());
   EXPECT_EQ(f.count<ClaimWriter>(), 0);
@@ -271,7 +271,7 @@
 
 TEST(Reservation, IsMadeWithThePrefillAndUsed) {
   const Settings s = short_aim_settings();
-  Front f(s);
+  RouterHarness f(s);
   f.arrive(1);
   const auto prefill_instance = f.sent();
   ASSERT_EQ(f.count<ClaimWriter>(), 1);
@@ -286,7 +286,7 @@
 
 TEST(Reservation, IsReleasedWhenTheRequestEnds) {
   const Settings s = short_aim_settings();
-  Front f(s);
+  RouterHarness f(s);
   f.arrive(1);
   const auto prefill_instance = f.sent();
   f.give({RequestGone{1}});
@@ -300,7 +300,7 @@
   constexpr RequestId kWarmUpRequests = 30, kCountedRequests = 40;
   Settings settings = plain_settings();
   settings.writers_read = false;  // decode instances cannot bypass the prefill instances
-  Front f(settings);
+  RouterHarness f(settings);
   int admitted = 0;
   for (RequestId id = 1; id <= kWarmUpRequests + kCountedRequests; ++id) {
     f.arrive(id);
--- a/tests/router_retry_test.cpp
+++ b/tests/router_retry_test.cpp
@@ -8,14 +8,14 @@
 namespace {
 
 // A small deployment: one front, two instances that prefill and decode, few arrivals.
-Front single_front() {
+RouterHarness single_front() {
   Settings s = plain_settings();
   s.fronts = 1;
-  return Front(s, {entry(kMixed, 2, 0), entry(kMixed + 1, 2, 0)});
+  return RouterHarness(s, {entry(kMixed, 2, 0), entry(kMixed + 1, 2, 0)});
 }
 
 TEST(RetryBudget, AnIdleInstanceIsTriedThoughTheBudgetIsSpent) {
-  Front f = single_front();
+  RouterHarness f = single_front();
   for (RequestId id = 1; id <= 8; ++id) {
     f.arrive(id);
     const auto first = f.sent();
@@ -30,7 +30,7 @@
 }
 
 TEST(RetryBudget, WithEveryInstanceTriedAndTheBudgetSpentTheRequestIsRefusedAtOnce) {
-  Front f = single_front();
+  RouterHarness f = single_front();
   RequestId id = 0;
   for (int failed = 0; failed < 6; ++failed) {
     f.arrive(++id);
@@ -43,7 +43,7 @@
 }
 
 TEST(RetryBudget, BusyInstancesGetNoRetriesBeyondIt) {
-  Front f = single_front();
+  RouterHarness f = single_front();
   // Streams run at both instances, so neither is idle.
   for (RequestId id = 100; id < 104; ++id) {
     f.arrive(id);
@@ -64,7 +64,7 @@
 TEST(RetryBudget, LimitsResumedAnswersAndThoseClosestToCompletionComeFirst) {
   Settings settings = plain_settings();
   settings.resume = true;
-  Front f(settings, {entry(kMixed, 2, 0), entry(kMixed + 1, 2, 1)});
+  RouterHarness f(settings, {entry(kMixed, 2, 0), entry(kMixed + 1, 2, 1)});
   for (RequestId id = 200; id < 204; ++id) {
     f.arrive(id);
     f.stream(id, 0, *f.sent());
@@ -98,7 +98,7 @@
 
 TEST(Decode, AnUnsafeRequestThatMayHaveRunIsFailed) {
   for (const Outcome outcome : {Outcome::error, Outcome::timed_out, Outcome::reset, Outcome::cancelled}) {
-    Front f;
+    RouterHarness f;
     f.arrive(1, 2);
     f.end(1, 0, *f.sent(), Outcome::state_held);
     f.end(1, 1, *f.sent(), outcome);
@@ -110,7 +110,7 @@
 
 TEST(Decode, AnUnsafeRequestThatDidNotRunIsRetried) {
   for (const Outcome outcome : {Outcome::busy, Outcome::not_connected}) {
-    Front f;
+    RouterHarness f;
     f.arrive(1, 2);
     f.end(1, 0, *f.sent(), Outcome::state_held);
     const auto first = f.sent();
@@ -127,7 +127,7 @@
   s.writers_read = false;
   s.limits.max_attempts = 8;
   for (Key session = 1; session <= 20; ++session) {
-    Front f(s);
+    RouterHarness f(s);
     f.arrive(1, 1, 3000, session);
     EXPECT_EQ(std::get<Send>(f.last.front()).by, 0s);  // no repeat window has started
     f.end(1, 0, *f.sent(), Outcome::state_held);
@@ -149,7 +149,7 @@
 }
 
 TEST(Decode, AnAttemptThatDidNotRunDoesNotRestrictTheGroup) {
-  Front f(plain_settings(), {entry(kPrefillA, 0, 0), entry(kDecodeA, 1, 0), entry(kDecodeB, 1, 1)});
+  RouterHarness f(plain_settings(), {entry(kPrefillA, 0, 0), entry(kDecodeA, 1, 0), entry(kDecodeB, 1, 1)});
   f.arrive(1, 1);
   f.end(1, 0, kPrefillA, Outcome::state_held);
   const EngineId first = *f.sent();
@@ -158,7 +158,7 @@
 }
 
 TEST(Decode, AKeyedRequestIsRetriedOnlyInItsCell) {
-  Front f;
+  RouterHarness f;
   f.arrive(1, 1);
   f.end(1, 0, *f.sent(), Outcome::state_held);
   const auto first = f.sent();
@@ -169,7 +169,7 @@
 }
 
 TEST(Decode, AMissingCacheIsReleasedAndThePromptPrefilledAgain) {
-  Front f;
+  RouterHarness f;
   f.arrive(1);
   f.end(1, 0, *f.sent(), Outcome::state_held);
   f.end(1, 1, *f.sent(), Outcome::busy, 1);
@@ -178,7 +178,7 @@
 }
 
 TEST(Decode, AnotherInstanceFetchesTheCacheIfTheFirstIsFull) {
-  Front f;
+  RouterHarness f;
   f.arrive(1);
   f.end(1, 0, *f.sent(), Outcome::state_held);
   const auto first = f.sent();
@@ -189,7 +189,7 @@
 }
 
 TEST(Decode, AnInstanceLostDuringThePrefillIsReplaced) {
-  Front f;
+  RouterHarness f;
   f.arrive(1);
   const auto prefill_instance = f.sent();
   auto gone = entry(kDecodeA, 1, 0);
@@ -201,7 +201,7 @@
 
 // Number of retries when every prefill fails, for requests that arrive at intervals of `gap` for ten seconds.
 int retries_when_all_fail(Duration gap) {
-  Front f;
+  RouterHarness f;
   int arrived = 0;
   for (Duration at{0}; at < 10s; at += gap, ++arrived) {
     f.arrive(RequestId(arrived) + 1);
@@ -222,7 +222,7 @@
 }
 
 TEST(Health, ADecodeInstanceFailingOneClassIsAvoidedForThatClassOnly) {
-  Front f(plain_settings(), {entry(kPrefillA, 0, 0), entry(kDecodeA, 1, 0), entry(kDecodeB, 1, 0)});
+  RouterHarness f(plain_settings(), {entry(kPrefillA, 0, 0), entry(kDecodeA, 1, 0), entry(kDecodeB, 1, 0)});
   // One decode instance never answers class 0; both answer class 1.
   RequestId id = 1;
   std::optional<EngineId> failing_instance;
@@ -250,7 +250,7 @@
 TEST(Health, ADecodeInstanceThatFailsAtOnceIsNotPreferredForBeingIdle) {
   Settings s = plain_settings();
   s.kinds[1].memory = 400;  // the working decode instance has memory for one request of this front
-  Front f(s);
+  RouterHarness f(s);
   int failed = 0;
   for (RequestId id = 1; id <= 30; ++id) {
     f.arrive(id, 2, 100);  // unsafe, prefilled where it is decoded
@@ -264,7 +264,7 @@
 }
 
 TEST(Cancellation, ASilentPrefillInstanceIsReplaced) {
-  Front f;
+  RouterHarness f;
   for (RequestId id = 1; id < 9; ++id) f.serve(id);
   f.arrive(20);
   const auto silent_instance = f.sent();
@@ -280,7 +280,7 @@
   for (const Duration aim : {Duration{600ms}, Duration{4s}}) {
     Settings settings = plain_settings();
     for (RequestClass& cls : settings.classes) cls.aim = aim;
-    Front f(settings);
+    RouterHarness f(settings);
     for (RequestId id = 1; id < 9; ++id) f.serve(id);
     f.arrive(20);
     ASSERT_TRUE(is_prefill_instance(f.sent()));
@@ -292,7 +292,7 @@
 }
 
 TEST(Cancellation, AnUnsafeDecodeAttemptIsNeverCancelled) {
-  Front f;
+  RouterHarness f;
   for (RequestId id = 1; id < 9; ++id) f.serve(id);
   f.arrive(20, 2);
   f.end(20, 0, *f.sent(), Outcome::state_held);
--- a/tests/slow_start_test.cpp
+++ b/tests/slow_start_test.cpp
@@ -39,7 +39,7 @@
     for (EngineId id = 101; id <= 106; ++id) list_.push_back(entry(id, 1, 0));
     for (std::uint32_t i = 0; i < processes; ++i) {
       settings_.seed = i + 1;
-      processes_.push_back(std::make_unique<Front>(settings_, list_));
+      processes_.push_back(std::make_unique<RouterHarness>(settings_, list_));
       weights_.push_back(unequal ? 1.0 / double(i + 1) : 1.0);
     }
   }
@@ -50,7 +50,7 @@
     for (const Time end = now_ + length; now_ < end; now_ += kStep) {
       for (const auto& process : processes_) collect(*process, [&] { process->run(kStep); });
       for (int n = arrivals(random_); n > 0; --n) {
-        Front& process = *processes_[pick(random_)];
+        RouterHarness& process = *processes_[pick(random_)];
         collect(process, [&] { process.arrive(++last_id_); });
       }
       finish();
@@ -91,7 +91,7 @@
 
  private:
   struct Call {
-    Front* process = nullptr;
+    RouterHarness* process = nullptr;
     RequestId id = 0;
     int attempt = 0;
     EngineId engine = 0;
@@ -100,7 +100,7 @@
 
   // Runs `act` at a process and records what it sends.
   template <typename Do>
-  void collect(Front& process, Do act) {
+  void collect(RouterHarness& process, Do act) {
     const std::size_t before = process.log.size();
     act();
     for (std::size_t i = before; i < process.log.size(); ++i) {
@@ -121,7 +121,7 @@
       const bool prefill = call.engine <= kNewInstance + kWarmInstances;
       const bool fails = prefill && call.engine != kNewInstance && unit_(random_) < failing_;
       const Outcome outcome = fails ? Outcome::error : prefill ? Outcome::state_held : Outcome::served;
-      Front& process = *call.process;
+      RouterHarness& process = *call.process;
       if (!prefill) process.stream(call.id, call.attempt, call.engine);
       collect(process, [&] { process.end(call.id, call.attempt, call.engine, outcome, 0, !prefill); });
     }
@@ -130,7 +130,7 @@
   Settings settings_;
   double rate_, failing_;
   std::vector<EngineEntry> list_;
-  std::vector<std::unique_ptr<Front>> processes_;
+  std::vector<std::unique_ptr<RouterHarness>> processes_;
   std::vector<double> weights_;
   std::mt19937 random_{11};
   std::uniform_real_distribution<double> unit_;
