--- a/src/app/serve.cpp
+++ b/src/app/serve.cpp
@@ -136,7 +136,7 @@
                                 pool_limits(config.connect_timeout, config.idle_timeout, resource_limits),
                                 net::Dialect::platform);
   bool list_received = false, waiting_for_list = false;
-  net::DiscoveryWatch discovery(loop, config, [&](const core::FleetNews& news) {
+  net::DiscoveryWatch discovery(loop, config, [&](const core::FleetUpdate& news) {
     conductor->news(news);
     list_received = true;
     if (waiting_for_list) loop.stop();
@@ -212,7 +212,7 @@
       loop, pool_limits(appliance.connect_timeout, appliance.idle_timeout, resource_limits),
       net::Dialect::openai);
   net::InstanceMonitor monitor(loop, instances, appliance,
-                               [&](const core::FleetNews& news) { conductor->news(news); });
+                               [&](const core::FleetUpdate& news) { conductor->news(news); });
   conductor.emplace(core_settings(appliance.module, resource_limits), loop, instances, monitor, log_line);
   conductor->observe(request_log(appliance.classes));
   net::OperatorPage page(*conductor, loop, monitor, door, appliance);
--- a/src/config/config.hpp
+++ b/src/config/config.hpp
@@ -33,7 +33,7 @@
   core::Duration cpu_budget_per_second{0};
   std::vector<std::string> unknown;  // keys of the settings that are unknown and ignored
   bool stream_reports = false;       // answers carry load reports
-  core::FleetNews known;
+  core::FleetUpdate known;
   std::uint64_t known_version = 0;
   std::size_t startup_settings_hash = 0;  // hash of all settings that a reload cannot change
 };
@@ -51,7 +51,7 @@
 // One message from discovery: the whole list of instances or changes to it.
 struct ListMessage {
   std::uint64_t version = 0;
-  core::FleetNews news;
+  core::FleetUpdate news;
 };
 // Throws eiderarch::wire::MalformedInput.
 ListMessage parse_list(const nlohmann::json& message, const std::vector<std::string>& zones,
--- a/src/core/fleet.cpp
+++ b/src/core/fleet.cpp
@@ -16,7 +16,7 @@
   return observed ? std::max(started, *last_update_) : started;
 }
 
-std::vector<EngineId> Fleet::update(Time now, const FleetNews& list_update) {
+std::vector<EngineId> Fleet::update(Time now, const FleetUpdate& list_update) {
   std::vector<EngineId> lost;
   if (list_update.scope == ListScope::failed) return lost;
   if (list_update.scope != ListScope::changes) {
--- a/src/core/fleet.hpp
+++ b/src/core/fleet.hpp
@@ -28,7 +28,7 @@
   // clock, or a fault) counts as a start at the time it was first listed, until the list names another one. A
   // start during the lifetime of this process counts as no earlier than the last update from discovery before
   // it, even if the wall clock says otherwise.
-  std::vector<EngineId> update(Time now, const FleetNews& list_update);
+  std::vector<EngineId> update(Time now, const FleetUpdate& list_update);
   // Replaces the set of ids that are out for maintenance; returns the instances for which that changed. One
   // that returns to rotation counts as started now: operators restart it meanwhile, and the list may not have
   // said so.
--- a/src/core/ports.hpp
+++ b/src/core/ports.hpp
@@ -221,7 +221,7 @@
 };
 
 // An update of the discovery list.
-struct FleetNews {
+struct FleetUpdate {
   eiderarch::ListScope scope = eiderarch::ListScope::changes;
   std::vector<Listed> entries;
 };
--- a/src/net/appliance/box_watch.cpp
+++ b/src/net/appliance/box_watch.cpp
@@ -132,7 +132,7 @@
 }
 
 void InstanceMonitor::publish() {
-  core::FleetNews update{eiderarch::ListScope::complete, {}};
+  core::FleetUpdate update{eiderarch::ListScope::complete, {}};
   for (Instance& instance : monitored_) {
     instance.listed.entry.state = !instance.runs     ? EngineState::gone
                                   : instance.drained ? EngineState::draining
--- a/src/net/appliance/box_watch.hpp
+++ b/src/net/appliance/box_watch.hpp
@@ -17,7 +17,7 @@
 
 class InstanceMonitor : public core::Discovery {
  public:
-  using UpdateHandler = std::function<void(core::FleetNews)>;
+  using UpdateHandler = std::function<void(core::FleetUpdate)>;
   InstanceMonitor(core::Scheduler& scheduler, core::Instances& instances, const config::Appliance& appliance,
                   UpdateHandler on_update);
 
--- a/src/net/platform/discovery_watch.cpp
+++ b/src/net/platform/discovery_watch.cpp
@@ -136,7 +136,7 @@
     on_line(text);
   });
   const bool keep_alive_line = !line_complete && splitter_.pending_bytes() == 0;
-  if (keep_alive_line) on_update_(core::FleetNews{});
+  if (keep_alive_line) on_update_(core::FleetUpdate{});
   if (splitter_.pending_bytes() > kMaxLineBytes) {
     log::write("discovery", "line exceeds 4 MiB without an end; reopening the watch");
     splitter_.clear();
--- a/src/net/platform/discovery_watch.hpp
+++ b/src/net/platform/discovery_watch.hpp
@@ -17,7 +17,7 @@
 
 class DiscoveryWatch : public core::Discovery {
  public:
-  using UpdateHandler = std::function<void(core::FleetNews)>;
+  using UpdateHandler = std::function<void(core::FleetUpdate)>;
   DiscoveryWatch(Loop& loop, const config::Config& config, UpdateHandler on_update);
   ~DiscoveryWatch() override;
 
--- a/tests/core_rules_test.cpp
+++ b/tests/core_rules_test.cpp
@@ -49,7 +49,7 @@
     all.module = settings;
     all.max_requests = 60;
     conductor = std::make_unique<Conductor>(all, time, *this, *this, [](const char*, const std::string&) {});
-    FleetNews news{eiderarch::ListScope::disk, {}};
+    FleetUpdate news{eiderarch::ListScope::disk, {}};
     for (int i = 0; i < kInstances; ++i) news.entries.push_back(list_entry(i, eiderarch::EngineState::live));
     conductor->news(news);
   }
