--- a/src/app/serve.cpp
+++ b/src/app/serve.cpp
@@ -137,7 +137,7 @@
                                 net::Dialect::platform);
   bool list_received = false, waiting_for_list = false;
   net::DiscoveryWatch discovery(loop, config, [&](const core::FleetUpdate& news) {
-    conductor->news(news);
+    conductor->update_fleet(news);
     list_received = true;
     if (waiting_for_list) loop.stop();
   });
@@ -148,7 +148,7 @@
   net::PlatformFront front(*conductor, loop, config.classes, config.tenants);
   std::optional<PlatformManagement> management;
   if (!config.mgmt.empty()) management.emplace(loop, *conductor, front, config, temporary_directory());
-  conductor->news(config.known);  // the configured list is used until discovery sends one
+  conductor->update_fleet(config.known);  // the configured list is used until discovery sends one
   discovery.open();
   if (config.passed_socket && !list_received) {
     // Meanwhile the previous process serves clients, with a newer list than the configured one.
@@ -212,7 +212,7 @@
       loop, pool_limits(appliance.connect_timeout, appliance.idle_timeout, resource_limits),
       net::Dialect::openai);
   net::InstanceMonitor monitor(loop, instances, appliance,
-                               [&](const core::FleetUpdate& news) { conductor->news(news); });
+                               [&](const core::FleetUpdate& news) { conductor->update_fleet(news); });
   conductor.emplace(core_settings(appliance.module, resource_limits), loop, instances, monitor, log_line);
   conductor->observe(request_log(appliance.classes));
   net::OperatorPage page(*conductor, loop, monitor, door, appliance);
--- a/src/core/conductor.cpp
+++ b/src/core/conductor.cpp
@@ -59,7 +59,7 @@
 
 void Conductor::client_gone(RequestId id) { deliver(id, ClientGone{}); }
 
-void Conductor::news(const FleetUpdate& list_update) {
+void Conductor::update_fleet(const FleetUpdate& list_update) {
   const std::vector<EngineId> lost = fleet_.update(scheduler_.now(), list_update);
   for (const EngineId instance : lost) {
     if (const Fleet::Member* member = fleet_.find(instance)) instances_.forget(member->target);
--- a/src/core/conductor.hpp
+++ b/src/core/conductor.hpp
@@ -65,7 +65,7 @@
   // Reports that the client has closed its connection.
   void client_gone(RequestId id);
   // Applies an update of the discovery list.
-  void news(const FleetUpdate& list_update);
+  void update_fleet(const FleetUpdate& list_update);
   // Sets the complete list of ids that operators have taken out of rotation. Nothing new is sent there from
   // now on, whatever the discovery list says; an instance that returns counts as just started.
   void maintain(std::set<std::string> ids);
--- a/src/core/ports.hpp
+++ b/src/core/ports.hpp
@@ -204,7 +204,7 @@
   virtual void forget(const Target& target) = 0;
 };
 
-// The source of the list of instances. Updates arrive at Conductor::news.
+// The source of the list of instances. Updates arrive at Conductor::update_fleet.
 class Discovery {
  public:
   virtual ~Discovery() = default;
--- a/tests/core_rules_test.cpp
+++ b/tests/core_rules_test.cpp
@@ -51,7 +51,7 @@
     conductor = std::make_unique<Conductor>(all, time, *this, *this, [](const char*, const std::string&) {});
     FleetUpdate news{eiderarch::ListScope::disk, {}};
     for (int i = 0; i < kInstances; ++i) news.entries.push_back(list_entry(i, eiderarch::EngineState::live));
-    conductor->news(news);
+    conductor->update_fleet(news);
   }
   ~SimulatedSite() override { conductor.reset(); }
 
@@ -256,7 +256,7 @@
     }
     state == eiderarch::EngineState::gone ? void(gone_.insert(changed.entry.engine))
                                           : void(gone_.erase(changed.entry.engine));
-    conductor->news({eiderarch::ListScope::changes, {changed}});
+    conductor->update_fleet({eiderarch::ListScope::changes, {changed}});
   }
 
   // ---- Behaviour of an instance ----
--- a/tests/core_test.cpp
+++ b/tests/core_test.cpp
@@ -429,7 +429,7 @@
   fresh.id = fresh.address = "r";
   fresh.entry.engine = std::hash<std::string>{}("r");
   fresh.entry.started = w.time.now();
-  w.conductor->news({eiderarch::ListScope::changes, {fresh}});
+  w.conductor->update_fleet({eiderarch::ListScope::changes, {fresh}});
   w.instances.releases.back()(false);
   w.time.pass(1s);
   CHECK(w.instances.log.size() == before);
--- a/tests/core_world.hpp
+++ b/tests/core_world.hpp
@@ -148,7 +148,7 @@
     row.entry.engine = std::hash<std::string>{}(id);
     row.entry.kind = kind;
     row.entry.state = state;
-    conductor->news({eiderarch::ListScope::changes, {row}});
+    conductor->update_fleet({eiderarch::ListScope::changes, {row}});
     time.settle();
   }
   // `continuations`: how many times the reply can continue an answer whose instance was lost.
--- a/tests/handover_test.cpp
+++ b/tests/handover_test.cpp
@@ -211,7 +211,7 @@
     core::Listed listed;
     listed.id = "box";
     listed.entry.engine = 5;
-    conductor->news({eiderarch::ListScope::changes, {listed}});
+    conductor->update_fleet({eiderarch::ListScope::changes, {listed}});
   }
   void ask() {
     core::Ask ask;
--- a/tests/repeat_test.cpp
+++ b/tests/repeat_test.cpp
@@ -223,7 +223,7 @@
   row.id = row.address = "w";
   row.entry.engine = std::hash<std::string>{}("w");
   row.entry.kind = eiderarch::kKindNotNamed;
-  w.conductor->news({eiderarch::ListScope::changes, {row}});
+  w.conductor->update_fleet({eiderarch::ListScope::changes, {row}});
   w.time.settle();
   CHECK(w.conductor->fleet().find(row.entry.engine)->entry.kind == kMixed);
 }
