--- a/src/core/conductor.hpp
+++ b/src/core/conductor.hpp
@@ -28,7 +28,7 @@
   // client must be informed within 5 s.
   Duration stall_limit{4'000'000};
   // How late an update from discovery may arrive here although it already counts for the drain's grace.
-  Duration news_late{0};
+  Duration discovery_delay{0};
   std::size_t max_requests = 400;
   std::size_t max_releases = 2000;
 };
--- a/src/core/request_lifecycle.cpp
+++ b/src/core/request_lifecycle.cpp
@@ -360,7 +360,7 @@
   const Fleet::Member* member = fleet_.find(instance);
   if (member == nullptr || member->out) return false;
   const Duration grace =
-      std::max<Duration>(settings_.module.rules.drain_grace - kDrainMargin - settings_.news_late, 0us);
+      std::max<Duration>(settings_.module.rules.drain_grace - kDrainMargin - settings_.discovery_delay, 0us);
   return !member->draining_since || scheduler_.now() - *member->draining_since < grace;
 }
 
--- a/tests/core_world.hpp
+++ b/tests/core_world.hpp
@@ -115,7 +115,7 @@
   bool client_closed = false;  // of all clients, as reported by the operating system
   std::unique_ptr<Conductor> conductor;
 
-  explicit CoreFixture(std::size_t max_requests = 10, Duration news_late = 0s) {
+  explicit CoreFixture(std::size_t max_requests = 10, Duration discovery_delay = 0s) {
     ConductorSettings s;
     s.module.classes.resize(3);
     s.module.classes[0].effect = eiderarch::Effect::safe;
@@ -137,7 +137,7 @@
     s.module.writers_read = true;
     s.module.resume = true;
     s.max_requests = max_requests;
-    s.news_late = news_late;
+    s.discovery_delay = discovery_delay;
     conductor =
         std::make_unique<Conductor>(s, time, instances, instances, [](const char*, const std::string&) {});
   }
