--- a/src/core/conductor.hpp
+++ b/src/core/conductor.hpp
@@ -181,7 +181,7 @@
   // resumed.
   bool end_stream(Request& r, const AttemptEnd& end);
   // Continues the answer at another instance; the module knows the request by a new id from here on.
-  void resume(Request& r, const Onward& onward);
+  void resume(Request& r, const StreamContinuation& continuation);
   void break_off(Request& r);
   void start_stall_timer(Request& r, Duration patience);
   // Records an event and starts the timer for the next one. The limit follows the instance's event rate if
--- a/src/core/ports.hpp
+++ b/src/core/ports.hpp
@@ -64,7 +64,7 @@
 };
 
 // How a streamed answer whose instance was lost can be continued.
-struct Onward {
+struct StreamContinuation {
   enum class What {
     broken,    // it cannot be continued
     finished,  // only the end marker was missing; the reply has supplied it
@@ -74,7 +74,7 @@
   PayloadPtr payload;
   Tokens written = 0;  // answer tokens sent so far; they become part of the prompt
   Tokens left = 0;     // answer tokens that may still follow; 0: limit unchanged
-  Duration patience{0};
+  Duration timeout{0};
 };
 
 // A connection that the next process of this conductor takes over: its descriptor, which remains owned by the
@@ -108,7 +108,7 @@
   // Ends an incomplete stream in such a way that the client cannot take it for a complete one.
   virtual void abort(const Ending& ending) = 0;
   // Called when the instance was lost after the stream had begun and executing the request again is harmless.
-  virtual Onward go_on() { return {}; }
+  virtual StreamContinuation go_on() { return {}; }
   // Whether `go_on` may succeed, so that an instance may be given up when it is only suspected to have
   // failed.
   [[nodiscard]] virtual bool may_go_on() const { return false; }
--- a/src/core/request_lifecycle.cpp
+++ b/src/core/request_lifecycle.cpp
@@ -269,19 +269,19 @@
   if (end_stream(r, *attempt.end)) return true;
   r.ending.told = attempt.end->told;
   const bool may = repeat_safe(r) && r.attempts < settings_.module.limits.max_attempts;
-  const Onward onward = may ? r.reply->go_on() : Onward{};
-  switch (onward.what) {
-    case Onward::What::go_on:
+  const StreamContinuation continuation = may ? r.reply->go_on() : StreamContinuation{};
+  switch (continuation.what) {
+    case StreamContinuation::What::go_on:
       report_attempt_end(r, attempt, true);
-      resume(r, onward);
+      resume(r, continuation);
       return false;
-    case Onward::What::finished:
+    case StreamContinuation::What::finished:
       ++figures_.served;
       ++figures_.finished;
       r.result = RequestRecord::Result::served;
       r.reply->end();
       return true;
-    case Onward::What::broken:
+    case StreamContinuation::What::broken:
       break;
   }
   break_off(r);
--- a/src/core/stream.cpp
+++ b/src/core/stream.cpp
@@ -87,22 +87,22 @@
   r.reply->abort(set_ending(r, RequestRecord::Result::broken, Ending::Cause::broke_off));
 }
 
-void Conductor::resume(Request& r, const Onward& onward) {
+void Conductor::resume(Request& r, const StreamContinuation& continuation) {
   ++figures_.continued;
   r.resumed = true;
   r.streaming = false;
   r.ending.told = false;
   r.attempts_before = r.attempts;
-  r.ask.payload = onward.payload;
+  r.ask.payload = continuation.payload;
   eiderarch::RequestArrived& facts = r.ask.facts;
   r.module_id = facts.id = ++last_id_;
   aliases_[r.module_id] = r.id;
   facts.resumed = true;
   facts.lost_at = r.instance;
-  facts.prompt_tokens += onward.written - r.tokens_written;
-  r.tokens_written = onward.written;
-  if (onward.left > 0) facts.max_output = onward.left;
-  facts.deadline = scheduler_.now() + onward.patience;
+  facts.prompt_tokens += continuation.written - r.tokens_written;
+  r.tokens_written = continuation.written;
+  if (continuation.left > 0) facts.max_output = continuation.left;
+  facts.deadline = scheduler_.now() + continuation.timeout;
   watch_deadline(r);
   post(facts);
 }
--- a/src/net/openai/reply.cpp
+++ b/src/net/openai/reply.cpp
@@ -102,7 +102,7 @@
   }
 }
 
-core::Onward Reply::go_on() {
+core::StreamContinuation Reply::go_on() {
   if (!options_.recovery) return {};
   const recovery::Continuation next = options_.recovery->instance_lost(options_.original_request->body);
   const auto log_decision = [&](const char* what) {
@@ -120,15 +120,15 @@
     case recovery::Continuation::Action::finish:
       log_decision("its end alone was missing");
       send_events(next.bytes);
-      return {core::Onward::What::finished, nullptr, next.written_tokens, 0, {}};
+      return {core::StreamContinuation::What::finished, nullptr, next.written_tokens, 0, {}};
     case recovery::Continuation::Action::resume:
       break;
   }
   log_decision("goes on at another box");
   auto payload = std::make_shared<core::Payload>(*options_.original_request);
   payload->body = next.body;
-  return {core::Onward::What::go_on, std::move(payload), next.written_tokens, next.remaining_tokens,
-          options_.max_gap};
+  return {core::StreamContinuation::What::go_on, std::move(payload), next.written_tokens,
+          next.remaining_tokens, options_.max_gap};
 }
 
 void Reply::end() {
--- a/tests/core_world.hpp
+++ b/tests/core_world.hpp
@@ -86,10 +86,10 @@
   FakeReply(EventLog& log, int continuations, const bool& closed)
       : log_(log), continuations_(continuations), closed_(closed) {}
   [[nodiscard]] bool client_closed() const override { return closed_; }
-  Onward go_on() override {
+  StreamContinuation go_on() override {
     if (continuations_-- <= 0) return {};
     log_.emplace_back("go on");
-    return {Onward::What::go_on, nullptr, 10, 50, 1s};
+    return {StreamContinuation::What::go_on, nullptr, 10, 50, 1s};
   }
   void refuse(const Ending&) override { log_.emplace_back("refused"); }
   void fail(const Ending&) override { log_.emplace_back("failed"); }
