--- a/src/core/ports.hpp
+++ b/src/core/ports.hpp
@@ -108,9 +108,9 @@
   // Ends an incomplete stream in such a way that the client cannot take it for a complete one.
   virtual void abort(const Ending& ending) = 0;
   // Called when the instance was lost after the stream had begun and executing the request again is harmless.
-  virtual StreamContinuation go_on() { return {}; }
-  // Whether `go_on` may succeed, so that an instance may be given up when it is only suspected to have
-  // failed.
+  virtual StreamContinuation continue_answer() { return {}; }
+  // Whether `continue_answer` may succeed, so that an instance may be given up when it is only suspected to
+  // have failed.
   [[nodiscard]] virtual bool may_go_on() const { return false; }
   // The client's connection in the middle of a stream; nullopt if it cannot be passed on in its present
   // state.
--- a/src/core/request_lifecycle.cpp
+++ b/src/core/request_lifecycle.cpp
@@ -269,7 +269,7 @@
   if (end_stream(r, *attempt.end)) return true;
   r.ending.told = attempt.end->told;
   const bool may = repeat_safe(r) && r.attempts < settings_.module.limits.max_attempts;
-  const StreamContinuation continuation = may ? r.reply->go_on() : StreamContinuation{};
+  const StreamContinuation continuation = may ? r.reply->continue_answer() : StreamContinuation{};
   switch (continuation.what) {
     case StreamContinuation::What::go_on:
       report_attempt_end(r, attempt, true);
--- a/src/net/openai/reply.cpp
+++ b/src/net/openai/reply.cpp
@@ -102,7 +102,7 @@
   }
 }
 
-core::StreamContinuation Reply::go_on() {
+core::StreamContinuation Reply::continue_answer() {
   if (!options_.recovery) return {};
   const recovery::Continuation next = options_.recovery->instance_lost(options_.original_request->body);
   const auto log_decision = [&](const char* what) {
--- a/src/net/openai/reply.hpp
+++ b/src/net/openai/reply.hpp
@@ -36,7 +36,7 @@
   void data(std::string_view bytes) override;
   void end() override;
   void abort(const core::Ending& ending) override;
-  core::StreamContinuation go_on() override;
+  core::StreamContinuation continue_answer() override;
   [[nodiscard]] bool may_go_on() const override { return options_.recovery && !options_.recovery->failed(); }
   [[nodiscard]] bool garbled() const override { return options_.recovery && options_.recovery->failed(); }
 
--- a/tests/core_world.hpp
+++ b/tests/core_world.hpp
@@ -86,7 +86,7 @@
   FakeReply(EventLog& log, int continuations, const bool& closed)
       : log_(log), continuations_(continuations), closed_(closed) {}
   [[nodiscard]] bool client_closed() const override { return closed_; }
-  StreamContinuation go_on() override {
+  StreamContinuation continue_answer() override {
     if (continuations_-- <= 0) return {};
     log_.emplace_back("go on");
     return {StreamContinuation::What::go_on, nullptr, 10, 50, 1s};
