--- a/src/core/ports.hpp
+++ b/src/core/ports.hpp
@@ -111,7 +111,7 @@
   virtual StreamContinuation continue_answer() { return {}; }
   // Whether `continue_answer` may succeed, so that an instance may be given up when it is only suspected to
   // have failed.
-  [[nodiscard]] virtual bool may_go_on() const { return false; }
+  [[nodiscard]] virtual bool may_continue_answer() const { return false; }
   // The client's connection in the middle of a stream; nullopt if it cannot be passed on in its present
   // state.
   [[nodiscard]] virtual std::optional<Passed> passed() const { return std::nullopt; }
--- a/src/core/stream.cpp
+++ b/src/core/stream.cpp
@@ -23,7 +23,7 @@
   r.attempt_timer.reset();
   r.last_event.reset();
   if (!r.resumed) r.reply->begin();
-  r.rate_tracked = r.reply->may_go_on();
+  r.rate_tracked = r.reply->may_continue_answer();
   if (r.rate_tracked) silence_.began(attempt.command.engine);
   held_.forget(r.id);
   post(eiderarch::StreamStarted{r.module_id, attempt.number, attempt.command.engine,
@@ -113,7 +113,7 @@
 }
 
 bool Conductor::watches_silence(const Request& r) const {
-  return r.last_event && repeat_safe(r) && r.reply->may_go_on();
+  return r.last_event && repeat_safe(r) && r.reply->may_continue_answer();
 }
 
 void Conductor::record_stream_event(Request& r) {
--- a/src/net/openai/reply.hpp
+++ b/src/net/openai/reply.hpp
@@ -37,7 +37,9 @@
   void end() override;
   void abort(const core::Ending& ending) override;
   core::StreamContinuation continue_answer() override;
-  [[nodiscard]] bool may_go_on() const override { return options_.recovery && !options_.recovery->failed(); }
+  [[nodiscard]] bool may_continue_answer() const override {
+    return options_.recovery && !options_.recovery->failed();
+  }
   [[nodiscard]] bool garbled() const override { return options_.recovery && options_.recovery->failed(); }
 
  private:
