--- a/src/app/succession.cpp
+++ b/src/app/succession.cpp
@@ -40,7 +40,7 @@
   for (const auto& [engine, member] : conductor_.fleet().members()) {
     if (member.target.id == passed.stream.box) address = member.target.address;
   }
-  const core::Passed instance = passed.stream.instance;
+  const core::HandoverState instance = passed.stream.instance;
   front_.take_over(passed.name, std::move(passed.stream), clients_, [&](core::AttemptEvents& events) {
     return instances_.take_over(address, instance, events);
   });
--- a/src/core/conductor.hpp
+++ b/src/core/conductor.hpp
@@ -40,7 +40,7 @@
   int attempts = 1;
   Duration age{0};    // since the request was accepted
   Duration first{0};  // from then until its first event
-  Passed client, instance;
+  HandoverState client, instance;
 };
 
 // Owns the open requests, the fleet as listed by discovery, and the decision module. What can't be served is
--- a/src/net/http/http_connection.cpp
+++ b/src/net/http/http_connection.cpp
@@ -394,7 +394,7 @@
   connection.response_complete();
 }
 
-std::optional<core::Passed> Incoming::passed() const {
+std::optional<core::HandoverState> Incoming::passed() const {
   if (state_ != State::streaming) return std::nullopt;
   bufferevent* stream = connection_->stream_.get();
   evbuffer* output = bufferevent_get_output(stream);
@@ -413,7 +413,7 @@
                                 {"unsent", nlohmann::json::binary(std::move(unsent))}};
   std::string text;
   nlohmann::json::to_cbor(state, text);
-  return core::Passed{bufferevent_getfd(stream), std::move(text)};
+  return core::HandoverState{bufferevent_getfd(stream), std::move(text)};
 }
 
 void Incoming::let_go() {
@@ -422,7 +422,7 @@
   connection.server_.close(connection);
 }
 
-std::unique_ptr<Incoming> HttpServer::take_over(const core::Passed& passed) {
+std::unique_ptr<Incoming> HttpServer::take_over(const core::HandoverState& passed) {
   const nlohmann::json state = nlohmann::json::from_cbor(passed.state, true, false);
   const bool whole = state.is_object() && state.contains("chunked") && state["chunked"].is_boolean() &&
                      state.contains("last") && state["last"].is_boolean() && state.contains("unsent") &&
--- a/src/net/http/http_server.hpp
+++ b/src/net/http/http_server.hpp
@@ -61,7 +61,7 @@
 
   // Within a stream: the client's descriptor and the state that HttpServer::take_over needs to continue it.
   // Empty if there is too much unsent output, or if a further request has arrived.
-  [[nodiscard]] std::optional<core::Passed> passed() const;
+  [[nodiscard]] std::optional<core::HandoverState> passed() const;
   // Closes this process's copy of the connection without ending the stream, which another process continues.
   void let_go();
 
@@ -128,7 +128,7 @@
   [[nodiscard]] bool stop_listening();
   // Continues a client's response stream from another process; takes ownership of the descriptor. Null if the
   // state is malformed.
-  [[nodiscard]] std::unique_ptr<Incoming> take_over(const core::Passed& passed);
+  [[nodiscard]] std::unique_ptr<Incoming> take_over(const core::HandoverState& passed);
   [[nodiscard]] bool winding_down() const { return winding_down_; }
   // Closes connections without a pending request; those that never sent one only at an age of at least
   // `silent`.
--- a/src/net/instances/instance_client.cpp
+++ b/src/net/instances/instance_client.cpp
@@ -143,12 +143,12 @@
         scanner_(std::move(scanner_state)),
         exchange_(pool, address, descriptor, position, *this) {}
 
-  [[nodiscard]] std::optional<core::Passed> passed() const override {
+  [[nodiscard]] std::optional<core::HandoverState> passed() const override {
     const int descriptor = dialect_ == Dialect::platform && streamed_ ? exchange_.handover_descriptor() : -1;
     if (descriptor < 0) return std::nullopt;
     const ResponseParser::BodyPosition position = *exchange_.response().position();
     const sse::StreamScanner::Open scanner_state = scanner_.open();
-    return core::Passed{descriptor, encode_state(position, scanner_state)};
+    return core::HandoverState{descriptor, encode_state(position, scanner_state)};
   }
   [[nodiscard]] Progress progress() const override { return exchange_.progress(); }
   void pause(bool on) override { exchange_.pause(on); }
@@ -357,7 +357,7 @@
 }
 
 std::unique_ptr<core::Attempt> InstanceClient::take_over(const std::string& address,
-                                                         const core::Passed& passed,
+                                                         const core::HandoverState& passed,
                                                          core::AttemptEvents& events) {
   try {
     auto [position, scanner_state] = decode_state(passed.state);
--- a/src/net/instances/instance_client.hpp
+++ b/src/net/instances/instance_client.hpp
@@ -25,7 +25,7 @@
                                        std::function<bool()> may_write, core::AttemptEvents& events) override;
   // Continues an attempt that another process handed over within its stream; takes ownership of the
   // descriptor. Null if the state is malformed.
-  std::unique_ptr<core::Attempt> take_over(const std::string& address, const core::Passed& passed,
+  std::unique_ptr<core::Attempt> take_over(const std::string& address, const core::HandoverState& passed,
                                            core::AttemptEvents& events);
   void claim(const core::Target& target, const core::PayloadPtr& payload, std::function<bool()> may_write,
              std::function<void(core::ClaimAnswer)> done) override;
--- a/tests/handover_test.cpp
+++ b/tests/handover_test.cpp
@@ -148,8 +148,8 @@
   FakeAttempt(Log& l, core::AttemptEvents& e, bool passable) : log(l), events(e), can_pass(passable) {}
   ~FakeAttempt() override { log.emplace_back("close"); }
   [[nodiscard]] core::Progress progress() const override { return core::Progress::streaming; }
-  [[nodiscard]] std::optional<core::Passed> passed() const override {
-    return can_pass ? std::optional(core::Passed{7, "instance"}) : std::nullopt;
+  [[nodiscard]] std::optional<core::HandoverState> passed() const override {
+    return can_pass ? std::optional(core::HandoverState{7, "instance"}) : std::nullopt;
   }
 };
 
@@ -163,7 +163,9 @@
   void data(std::string_view bytes) override { log.emplace_back(bytes); }
   void end() override { log.emplace_back("end"); }
   void abort(const core::Ending&) override { log.emplace_back("abort"); }
-  [[nodiscard]] std::optional<core::Passed> passed() const override { return core::Passed{8, "client"}; }
+  [[nodiscard]] std::optional<core::HandoverState> passed() const override {
+    return core::HandoverState{8, "client"};
+  }
   void let_go() override { log.emplace_back("let go"); }
 };
 
