--- a/src/core/ports.hpp
+++ b/src/core/ports.hpp
@@ -114,7 +114,7 @@
   [[nodiscard]] virtual bool may_continue_answer() const { return false; }
   // The client's connection in the middle of a stream; nullopt if it cannot be passed on in its present
   // state.
-  [[nodiscard]] virtual std::optional<HandoverState> passed() const { return std::nullopt; }
+  [[nodiscard]] virtual std::optional<HandoverState> handover_state() const { return std::nullopt; }
   // The connection has been passed on: the reply ends here without writing anything further.
   virtual void let_go() {}
   // Whether the output of another instance could not be joined to the answer; none of it has been sent.
@@ -166,7 +166,7 @@
   virtual void pause(bool /*on*/) {}
   // The instance's connection in the middle of a stream; nullopt if it cannot be passed on in its present
   // state.
-  [[nodiscard]] virtual std::optional<HandoverState> passed() const { return std::nullopt; }
+  [[nodiscard]] virtual std::optional<HandoverState> handover_state() const { return std::nullopt; }
 };
 
 // Conditions under which a request or call may use a pooled connection.
--- a/src/core/shutdown.cpp
+++ b/src/core/shutdown.cpp
@@ -27,8 +27,8 @@
   for (auto& [id, owned] : requests_) {
     Request& r = *owned;
     if (!r.streaming || r.resumed || r.lifecycle.done() || !r.attempt) continue;
-    std::optional<HandoverState> client = r.reply->passed();
-    std::optional<HandoverState> instance = client ? r.attempt->passed() : std::nullopt;
+    std::optional<HandoverState> client = r.reply->handover_state();
+    std::optional<HandoverState> instance = client ? r.attempt->handover_state() : std::nullopt;
     const Fleet::Member* member = fleet_.find(r.instance);
     if (!instance || member == nullptr) continue;
     const Time now = scheduler_.now();
--- a/src/net/http/http_connection.cpp
+++ b/src/net/http/http_connection.cpp
@@ -394,7 +394,7 @@
   connection.response_complete();
 }
 
-std::optional<core::HandoverState> Incoming::passed() const {
+std::optional<core::HandoverState> Incoming::handover_state() const {
   if (state_ != State::streaming) return std::nullopt;
   bufferevent* stream = connection_->stream_.get();
   evbuffer* output = bufferevent_get_output(stream);
--- a/src/net/http/http_server.hpp
+++ b/src/net/http/http_server.hpp
@@ -61,7 +61,7 @@
 
   // Within a stream: the client's descriptor and the state that HttpServer::take_over needs to continue it.
   // Empty if there is too much unsent output, or if a further request has arrived.
-  [[nodiscard]] std::optional<core::HandoverState> passed() const;
+  [[nodiscard]] std::optional<core::HandoverState> handover_state() const;
   // Closes this process's copy of the connection without ending the stream, which another process continues.
   void let_go();
 
--- a/src/net/instances/instance_client.cpp
+++ b/src/net/instances/instance_client.cpp
@@ -143,7 +143,7 @@
         scanner_(std::move(scanner_state)),
         exchange_(pool, address, descriptor, position, *this) {}
 
-  [[nodiscard]] std::optional<core::HandoverState> passed() const override {
+  [[nodiscard]] std::optional<core::HandoverState> handover_state() const override {
     const int descriptor = dialect_ == Dialect::platform && streamed_ ? exchange_.handover_descriptor() : -1;
     if (descriptor < 0) return std::nullopt;
     const ResponseParser::BodyPosition position = *exchange_.response().position();
--- a/src/net/platform/platform_front.cpp
+++ b/src/net/platform/platform_front.cpp
@@ -111,7 +111,9 @@
       : HttpReply(std::move(incoming)), open_ids_(std::move(open)), name_(std::move(name)) {}
   ~PlatformReply() override { open_ids_->erase(name_); }
   // A stream of the platform protocol needs no state but its bytes to be continued.
-  [[nodiscard]] std::optional<core::HandoverState> passed() const override { return incoming_->passed(); }
+  [[nodiscard]] std::optional<core::HandoverState> handover_state() const override {
+    return incoming_->handover_state();
+  }
   void let_go() override { incoming_->let_go(); }
 
  private:
--- a/tests/handover_test.cpp
+++ b/tests/handover_test.cpp
@@ -113,7 +113,7 @@
                          [&](std::unique_ptr<net::Incoming> incoming) {
                            incoming->begin(200, {{"Content-Type", "text/event-stream"}});
                            incoming->chunk("data: 1\n\n");
-                           auto passed = incoming->passed();
+                           auto passed = incoming->handover_state();
                            REQUIRE(passed.has_value());
                            passed->descriptor = dup(passed->descriptor);
                            incoming->let_go();
@@ -148,7 +148,7 @@
   FakeAttempt(Log& l, core::AttemptEvents& e, bool passable) : log(l), events(e), can_pass(passable) {}
   ~FakeAttempt() override { log.emplace_back("close"); }
   [[nodiscard]] core::Progress progress() const override { return core::Progress::streaming; }
-  [[nodiscard]] std::optional<core::HandoverState> passed() const override {
+  [[nodiscard]] std::optional<core::HandoverState> handover_state() const override {
     return can_pass ? std::optional(core::HandoverState{7, "instance"}) : std::nullopt;
   }
 };
@@ -163,7 +163,7 @@
   void data(std::string_view bytes) override { log.emplace_back(bytes); }
   void end() override { log.emplace_back("end"); }
   void abort(const core::Ending&) override { log.emplace_back("abort"); }
-  [[nodiscard]] std::optional<core::HandoverState> passed() const override {
+  [[nodiscard]] std::optional<core::HandoverState> handover_state() const override {
     return core::HandoverState{8, "client"};
   }
   void let_go() override { log.emplace_back("let go"); }
