--- a/src/core/ports.hpp
+++ b/src/core/ports.hpp
@@ -116,7 +116,7 @@
   // state.
   [[nodiscard]] virtual std::optional<HandoverState> handover_state() const { return std::nullopt; }
   // The connection has been passed on: the reply ends here without writing anything further.
-  virtual void let_go() {}
+  virtual void detach_after_handover() {}
   // Whether the output of another instance could not be joined to the answer; none of it has been sent.
   [[nodiscard]] virtual bool garbled() const { return false; }
 };
--- a/src/core/shutdown.cpp
+++ b/src/core/shutdown.cpp
@@ -36,7 +36,7 @@
                std::move(*client), std::move(*instance)})) {
       continue;  // not accepted, or not now
     }
-    r.reply->let_go();
+    r.reply->detach_after_handover();
     r.inbox.push(PassedOn{});
     ++count;
   }
--- a/src/net/http/http_connection.cpp
+++ b/src/net/http/http_connection.cpp
@@ -416,7 +416,7 @@
   return core::HandoverState{bufferevent_getfd(stream), std::move(text)};
 }
 
-void Incoming::let_go() {
+void Incoming::detach_after_handover() {
   if (state_ != State::streaming) return;
   HttpConnection& connection = detach();
   connection.server_.close(connection);
--- a/src/net/http/http_server.hpp
+++ b/src/net/http/http_server.hpp
@@ -63,7 +63,7 @@
   // Empty if there is too much unsent output, or if a further request has arrived.
   [[nodiscard]] std::optional<core::HandoverState> handover_state() const;
   // Closes this process's copy of the connection without ending the stream, which another process continues.
-  void let_go();
+  void detach_after_handover();
 
  private:
   friend class HttpConnection;
--- a/src/net/platform/platform_front.cpp
+++ b/src/net/platform/platform_front.cpp
@@ -114,7 +114,7 @@
   [[nodiscard]] std::optional<core::HandoverState> handover_state() const override {
     return incoming_->handover_state();
   }
-  void let_go() override { incoming_->let_go(); }
+  void detach_after_handover() override { incoming_->detach_after_handover(); }
 
  private:
   PlatformFront::OpenIds open_ids_;
--- a/tests/handover_test.cpp
+++ b/tests/handover_test.cpp
@@ -116,7 +116,7 @@
                            auto passed = incoming->handover_state();
                            REQUIRE(passed.has_value());
                            passed->descriptor = dup(passed->descriptor);
-                           incoming->let_go();
+                           incoming->detach_after_handover();
                            taken_over = next.take_over(*passed);
                            REQUIRE(taken_over != nullptr);
                            taken_over->chunk("data: 2\n\n");
@@ -166,7 +166,7 @@
   [[nodiscard]] std::optional<core::HandoverState> handover_state() const override {
     return core::HandoverState{8, "client"};
   }
-  void let_go() override { log.emplace_back("let go"); }
+  void detach_after_handover() override { log.emplace_back("let go"); }
 };
 
 struct FakeInstances : core::Instances, core::Discovery {
