--- a/src/core/ports.hpp
+++ b/src/core/ports.hpp
@@ -118,7 +118,7 @@
   // The connection has been passed on: the reply ends here without writing anything further.
   virtual void detach_after_handover() {}
   // Whether the output of another instance could not be joined to the answer; none of it has been sent.
-  [[nodiscard]] virtual bool garbled() const { return false; }
+  [[nodiscard]] virtual bool continuation_mismatched() const { return false; }
 };
 
 // How far an attempt has progressed. Up to `unwritten` the instance cannot have executed it.
--- a/src/core/stream.cpp
+++ b/src/core/stream.cpp
@@ -34,7 +34,7 @@
   if (const auto* data = std::get_if<AnswerData>(&event)) {
     record_stream_event(r);
     r.reply->data(data->bytes);
-    if (r.reply->garbled()) return AttemptEnd{Outcome::cancelled, 0, {}, false};
+    if (r.reply->continuation_mismatched()) return AttemptEnd{Outcome::cancelled, 0, {}, false};
     // Limits memory: a fast instance must not fill it for a client that reads slowly.
     if (r.reply->behind([&r] { r.inbox.push(ClientCaughtUp{}); })) {
       r.attempt->pause(true);
--- a/src/net/openai/reply.hpp
+++ b/src/net/openai/reply.hpp
@@ -40,7 +40,9 @@
   [[nodiscard]] bool may_continue_answer() const override {
     return options_.recovery && !options_.recovery->failed();
   }
-  [[nodiscard]] bool garbled() const override { return options_.recovery && options_.recovery->failed(); }
+  [[nodiscard]] bool continuation_mismatched() const override {
+    return options_.recovery && options_.recovery->failed();
+  }
 
  private:
   void send_error(const ErrorReply& error);
