--- a/src/core/ports.hpp
+++ b/src/core/ports.hpp
@@ -103,7 +103,7 @@
   virtual void data(std::string_view bytes) = 0;
   // Whether the client reads its stream more slowly than data arrives. If so, `room` is called once, when the
   // client has caught up; a client that never catches up is disconnected eventually.
-  [[nodiscard]] virtual bool behind(const std::function<void()>& /*room*/) { return false; }
+  [[nodiscard]] virtual bool wait_for_output_room(const std::function<void()>& /*room*/) { return false; }
   virtual void end() = 0;
   // Ends an incomplete stream in such a way that the client cannot take it for a complete one.
   virtual void abort(const Ending& ending) = 0;
--- a/src/core/stream.cpp
+++ b/src/core/stream.cpp
@@ -36,7 +36,7 @@
     r.reply->data(data->bytes);
     if (r.reply->continuation_mismatched()) return AttemptEnd{Outcome::cancelled, 0, {}, false};
     // Limits memory: a fast instance must not fill it for a client that reads slowly.
-    if (r.reply->behind([&r] { r.inbox.push(ClientCaughtUp{}); })) {
+    if (r.reply->wait_for_output_room([&r] { r.inbox.push(ClientCaughtUp{}); })) {
       r.attempt->pause(true);
       r.stall_timer.reset();  // the stream now waits for the client, not for the instance
       r.last_event.reset();
--- a/src/net/http/http_connection.cpp
+++ b/src/net/http/http_connection.cpp
@@ -366,7 +366,7 @@
   connection_->write("\r\n");
 }
 
-bool Incoming::behind(const std::function<void()>& room) {
+bool Incoming::wait_for_output_room(const std::function<void()>& room) {
   if (state_ != State::streaming) return false;
   if (evbuffer_get_length(bufferevent_get_output(connection_->stream_.get())) <= kBackpressureBytes)
     return false;
--- a/src/net/http/http_reply.hpp
+++ b/src/net/http/http_reply.hpp
@@ -23,7 +23,9 @@
   void relay(const core::Answer& answer) override;
   void begin() override;
   void data(std::string_view bytes) override { incoming_->chunk(bytes); }
-  bool behind(const std::function<void()>& room) override { return incoming_->behind(room); }
+  bool wait_for_output_room(const std::function<void()>& room) override {
+    return incoming_->wait_for_output_room(room);
+  }
   void end() override { incoming_->end(); }
   void abort(const core::Ending&) override { incoming_->abort(); }
 
--- a/src/net/http/http_server.hpp
+++ b/src/net/http/http_server.hpp
@@ -57,7 +57,7 @@
   // Ends a stream without its final chunk, after the output so far is written.
   void abort();
   // True if the client has too much unsent output; `room` is then called once all of it is written.
-  [[nodiscard]] bool behind(const std::function<void()>& room);
+  [[nodiscard]] bool wait_for_output_room(const std::function<void()>& room);
 
   // Within a stream: the client's descriptor and the state that HttpServer::take_over needs to continue it.
   // Empty if there is too much unsent output, or if a further request has arrived.
