--- a/src/core/ports.hpp
+++ b/src/core/ports.hpp
@@ -93,8 +93,8 @@
   // event for that may still be queued when the loop is delayed.
   [[nodiscard]] virtual bool client_closed() const { return false; }
   // Called just before the first byte of an attempt that may execute the request is written to an instance.
-  virtual void sending() {}
-  // Called when the attempt announced by `sending` has ended and proved not to have executed the request.
+  virtual void on_sending() {}
+  // Called when the attempt announced by `on_sending` has ended and proved not to have executed the request.
   virtual void never_ran() {}
   virtual void refuse(const Ending& ending) = 0;
   virtual void fail(const Ending& ending) = 0;
--- a/src/core/request.hpp
+++ b/src/core/request.hpp
@@ -59,7 +59,7 @@
   bool resumed = false;       // the answer was begun by an instance that was lost
   ExecutionRecord execution;
   bool repeat_forbidden = false;    // the check before the current attempt's first byte forbade it
-  bool execution_recorded = false;  // `ClientReply::sending` was called for the current attempt
+  bool execution_recorded = false;  // `ClientReply::on_sending` was called for the current attempt
   // The current attempt replaced a release that had not arrived at its instance.
   bool inherited_release = false;
   eiderarch::Outcome last_outcome = eiderarch::Outcome::skipped;
--- a/src/core/request_lifecycle.cpp
+++ b/src/core/request_lifecycle.cpp
@@ -129,7 +129,7 @@
     if (scheduler_.now() >= not_after || r.reply->client_closed()) return false;
     // Whoever records possible executions needs the record before the first byte.
     if (!prefill && !may_execute_again(r, instance)) return false;
-    if (!prefill && !std::exchange(r.execution_recorded, true)) r.reply->sending();
+    if (!prefill && !std::exchange(r.execution_recorded, true)) r.reply->on_sending();
     // A pending release there would release what this attempt is about to create or fetch. From here on the
     // attempt accounts for what that release covered. The release continues while the attempt connects, since
     // a request that has not arrived does not stop the release clock.
--- a/src/net/openai/admitted.cpp
+++ b/src/net/openai/admitted.cpp
@@ -88,7 +88,7 @@
 
 RequestAccount::~RequestAccount() { settle(std::nullopt); }
 
-void RequestAccount::sending() {
+void RequestAccount::on_sending() {
   // If never_ran() was not called for the last attempt, that one may have run.
   earlier_attempt_may_have_run_ |= last_attempt_may_have_run_;
   last_attempt_may_have_run_ = true;
--- a/src/net/openai/admitted.hpp
+++ b/src/net/openai/admitted.hpp
@@ -29,7 +29,7 @@
   [[nodiscard]] bool protects() const { return ticket_.ledger_entry != 0 && ticket_.by_key; }
 
   // An attempt that may execute the request is about to be sent; never_ran: it is proved not to have run.
-  void sending();
+  void on_sending();
   void never_ran();
   // Reads the usage from complete events of the instance, or from its complete answer.
   void record_events(std::string_view bytes);
--- a/src/net/openai/reply.hpp
+++ b/src/net/openai/reply.hpp
@@ -27,7 +27,7 @@
  public:
   Reply(std::unique_ptr<Incoming> incoming, core::Scheduler& scheduler, ReplyOptions options);
 
-  void sending() override { options_.account->sending(); }
+  void on_sending() override { options_.account->on_sending(); }
   void never_ran() override { options_.account->never_ran(); }
   void refuse(const core::Ending& ending) override { send_error(error_reply(ending)); }
   void fail(const core::Ending& ending) override { send_error(error_reply(ending)); }
