--- a/src/core/ports.hpp
+++ b/src/core/ports.hpp
@@ -95,7 +95,7 @@
   // Called just before the first byte of an attempt that may execute the request is written to an instance.
   virtual void on_sending() {}
   // Called when the attempt announced by `on_sending` has ended and proved not to have executed the request.
-  virtual void never_ran() {}
+  virtual void on_not_executed() {}
   virtual void refuse(const Ending& ending) = 0;
   virtual void fail(const Ending& ending) = 0;
   virtual void relay(const Answer& answer) = 0;
--- a/src/core/request_lifecycle.cpp
+++ b/src/core/request_lifecycle.cpp
@@ -215,7 +215,7 @@
   r.last_outcome = outcome;
   if (!attempt.prefill) r.execution.note(attempt.place, outcome);
   if (eiderarch::proves_not_executed(outcome) && std::exchange(r.execution_recorded, false)) {
-    r.reply->never_ran();
+    r.reply->on_not_executed();
   }
 }
 
--- a/src/net/openai/admitted.cpp
+++ b/src/net/openai/admitted.cpp
@@ -89,13 +89,13 @@
 RequestAccount::~RequestAccount() { settle(std::nullopt); }
 
 void RequestAccount::on_sending() {
-  // If never_ran() was not called for the last attempt, that one may have run.
+  // If on_not_executed() was not called for the last attempt, that one may have run.
   earlier_attempt_may_have_run_ |= last_attempt_may_have_run_;
   last_attempt_may_have_run_ = true;
   door_.record_attempt(ticket_);
 }
 
-void RequestAccount::never_ran() {
+void RequestAccount::on_not_executed() {
   last_attempt_may_have_run_ = false;
   door_.record_attempt(ticket_, false);
 }
--- a/src/net/openai/admitted.hpp
+++ b/src/net/openai/admitted.hpp
@@ -28,9 +28,10 @@
   // Whether its ledger entry is named by the client's Idempotency-Key, so that a retry never runs it twice.
   [[nodiscard]] bool protects() const { return ticket_.ledger_entry != 0 && ticket_.by_key; }
 
-  // An attempt that may execute the request is about to be sent; never_ran: it is proved not to have run.
+  // An attempt that may execute the request is about to be sent; on_not_executed: it is proved not to have
+  // run.
   void on_sending();
-  void never_ran();
+  void on_not_executed();
   // Reads the usage from complete events of the instance, or from its complete answer.
   void record_events(std::string_view bytes);
   void record_answer(std::string_view body);
--- a/src/net/openai/reply.hpp
+++ b/src/net/openai/reply.hpp
@@ -28,7 +28,7 @@
   Reply(std::unique_ptr<Incoming> incoming, core::Scheduler& scheduler, ReplyOptions options);
 
   void on_sending() override { options_.account->on_sending(); }
-  void never_ran() override { options_.account->never_ran(); }
+  void on_not_executed() override { options_.account->on_not_executed(); }
   void refuse(const core::Ending& ending) override { send_error(error_reply(ending)); }
   void fail(const core::Ending& ending) override { send_error(error_reply(ending)); }
   void relay(const core::Answer& answer) override;
