--- a/src/core/conductor.hpp
+++ b/src/core/conductor.hpp
@@ -105,7 +105,7 @@
     Tokens detail = 0;
     eiderarch::LoadReport report;
     bool client_gone = false;
-    bool told = false;
+    bool ended_by_error_event = false;
     AnswerPtr answer = {};
     bool passed_on = false;
     bool ended_by_instance = false;  // by the instance, which no longer works on the request
--- a/src/core/ports.hpp
+++ b/src/core/ports.hpp
@@ -56,10 +56,10 @@
     broke_off,    // its stream broke off after it had begun
   };
   Cause cause = Cause::failed;
-  bool may_have_run = false;  // some attempt at a decode instance may have executed it
-  bool repeat_safe = false;   // its class may be executed more than once
-  Duration stay_away{0};      // advised delay before a retry; 0: no advice
-  bool told = false;          // broke_off: the instance sent an error event within the stream
+  bool may_have_run = false;          // some attempt at a decode instance may have executed it
+  bool repeat_safe = false;           // its class may be executed more than once
+  Duration stay_away{0};              // advised delay before a retry; 0: no advice
+  bool ended_by_error_event = false;  // broke_off: the instance sent an error event within the stream
   eiderarch::Outcome last = eiderarch::Outcome::skipped;  // outcome of the last attempt
 };
 
@@ -133,8 +133,8 @@
   Verdict verdict = Verdict::broken;
   Tokens found = 0;  // prompt tokens found in the instance's KV cache
   eiderarch::LoadReport report;
-  bool told = false;  // ended by an error event within the stream
-  AnswerPtr answer;   // set if the request was rejected
+  bool ended_by_error_event = false;  // ended by an error event within the stream
+  AnswerPtr answer;                   // set if the request was rejected
   // This side closed the connection before the instance had answered completely or ended it. The instance may
   // go on with the request until it receives the close.
   bool closed_here = false;
--- a/src/core/request_lifecycle.cpp
+++ b/src/core/request_lifecycle.cpp
@@ -267,7 +267,7 @@
 
 bool Conductor::conclude_stream(Request& r, CurrentAttempt& attempt) {
   if (end_stream(r, *attempt.end)) return true;
-  r.ending.told = attempt.end->told;
+  r.ending.ended_by_error_event = attempt.end->ended_by_error_event;
   const bool may = repeat_safe(r) && r.attempts < settings_.module.limits.max_attempts;
   const StreamContinuation continuation = may ? r.reply->continue_answer() : StreamContinuation{};
   switch (continuation.what) {
@@ -316,7 +316,7 @@
   end.ended_by_instance = !result.closed_here;
   end.answered = result.verdict != Verdict::broken || result.progress >= Progress::head;
   if (result.verdict == Verdict::broken) {
-    end.told = result.told;
+    end.ended_by_error_event = result.ended_by_error_event;
     return end;
   }
   const bool read = result.verdict == Verdict::served || result.verdict == Verdict::state_held;
@@ -480,8 +480,8 @@
 const Ending& Conductor::set_ending(Request& r, RequestRecord::Result result, Ending::Cause cause,
                                     Duration stay_away) {
   r.result = result;
-  r.ending = {cause,         r.execution.may_have_executed(), repeat_safe(r), stay_away, r.ending.told,
-              r.last_outcome};
+  r.ending = {cause,     r.execution.may_have_executed(), repeat_safe(r),
+              stay_away, r.ending.ended_by_error_event,   r.last_outcome};
   return r.ending;
 }
 
--- a/src/core/shutdown.cpp
+++ b/src/core/shutdown.cpp
@@ -85,7 +85,7 @@
   r.attempt.reset();
   r.last_outcome = end->outcome;
   if (!end_stream(r, *end)) {
-    r.ending.told = end->told;
+    r.ending.ended_by_error_event = end->ended_by_error_event;
     break_off(r);
   }
   r.reply.reset();
--- a/src/core/stream.cpp
+++ b/src/core/stream.cpp
@@ -91,7 +91,7 @@
   ++figures_.continued;
   r.resumed = true;
   r.streaming = false;
-  r.ending.told = false;
+  r.ending.ended_by_error_event = false;
   r.attempts_before = r.attempts;
   r.ask.payload = continuation.payload;
   eiderarch::RequestArrived& facts = r.ask.facts;
--- a/src/net/instances/instance_client.cpp
+++ b/src/net/instances/instance_client.cpp
@@ -216,7 +216,7 @@
     result.closed_here = exchange_.closed_here();
     result.verdict = verdict(whole && !too_large_);
     result.report = scanner_.report();
-    result.told = scanner_.failed();
+    result.ended_by_error_event = scanner_.failed();
     if (const auto report = response.header("X-Pressure"); !report.empty())
       result.report = sse::parse_report(report);
     result.found = scanner_.found();
--- a/src/net/openai/reply.cpp
+++ b/src/net/openai/reply.cpp
@@ -154,9 +154,9 @@
   const ErrorReply error = error_reply(ending);
   if (!options_.streamed) return send_error(error);
   // The instance's own error event was withheld while the stream could still be recovered.
-  if (ending.told && options_.recovery && options_.formatter->forwards_error_events())
+  if (ending.ended_by_error_event && options_.recovery && options_.formatter->forwards_error_events())
     incoming_->chunk(options_.recovery->withheld_error());
-  if (!ending.told || !options_.formatter->forwards_error_events()) {
+  if (!ending.ended_by_error_event || !options_.formatter->forwards_error_events()) {
     incoming_->chunk(options_.formatter->error(error.code, error.message));
   }
   incoming_->abort();
