--- a/src/core/ports.hpp
+++ b/src/core/ports.hpp
@@ -131,7 +131,7 @@
 struct AttemptResult {
   Progress progress = Progress::not_connected;
   Verdict verdict = Verdict::broken;
-  Tokens found = 0;  // prompt tokens found in the instance's KV cache
+  Tokens cached_tokens = 0;  // prompt tokens found in the instance's KV cache
   eiderarch::LoadReport report;
   bool ended_by_error_event = false;  // ended by an error event within the stream
   AnswerPtr answer;                   // set if the request was rejected
--- a/src/core/request_lifecycle.cpp
+++ b/src/core/request_lifecycle.cpp
@@ -320,7 +320,7 @@
     return end;
   }
   const bool read = result.verdict == Verdict::served || result.verdict == Verdict::state_held;
-  end.detail = read ? result.found : result.verdict == Verdict::no_state ? 1 : 0;
+  end.detail = read ? result.cached_tokens : result.verdict == Verdict::no_state ? 1 : 0;
   end.report = result.report;
   end.answer = result.answer;
   return end;
--- a/src/net/instances/instance_client.cpp
+++ b/src/net/instances/instance_client.cpp
@@ -219,8 +219,8 @@
     result.ended_by_error_event = scanner_.failed();
     if (const auto report = response.header("X-Pressure"); !report.empty())
       result.report = sse::parse_report(report);
-    result.found = scanner_.found();
-    if (result.verdict == Verdict::state_held) result.found = sse::cached_tokens(body_).value_or(0);
+    result.cached_tokens = scanner_.found();
+    if (result.verdict == Verdict::state_held) result.cached_tokens = sse::cached_tokens(body_).value_or(0);
     if (result.verdict == Verdict::rejected) {
       result.answer = std::make_shared<core::Answer>(
           core::Answer{response.status(), std::string(response.header("Content-Type")), body_});
@@ -228,7 +228,7 @@
     if (result.verdict == Verdict::served && !streamed_) {
       // A non-streamed answer is forwarded only when it is known to be complete; until then it can be
       // retried.
-      result.found = cached_tokens_.value_or(0);
+      result.cached_tokens = cached_tokens_.value_or(0);
       events_.on_data(std::move(body_));
     }
     // The client expects the closing [DONE], which some instances omit after a finish reason.
--- a/tests/core_rules_test.cpp
+++ b/tests/core_rules_test.cpp
@@ -317,7 +317,7 @@
     AttemptResult result;
     result.verdict = verdict;
     result.progress = progress;
-    result.found = draw.pick(0, 4000);
+    result.cached_tokens = draw.pick(0, 4000);
     if (s.report_mode == eiderarch::ReportMode::answers) result.report = eiderarch::test::random_report(draw);
     attempt.events.on_ended(std::move(result));
   }
