--- a/src/core/execution.cpp
+++ b/src/core/execution.cpp
@@ -15,7 +15,7 @@
     case Verdict::state_held:
       // Not an answer of an instance that can execute, so it may have executed.
       return prefill ? Outcome::state_held : Outcome::error;
-    case Verdict::turned_away:
+    case Verdict::busy:
     case Verdict::no_state:
       return Outcome::busy;
     case Verdict::error:
--- a/src/core/ports.hpp
+++ b/src/core/ports.hpp
@@ -126,7 +126,7 @@
 
 // The instance's answer, or that it gave none (`broken`). `rejected`: the request itself is invalid, and any
 // other instance would reject it too.
-enum class Verdict { broken, served, state_held, turned_away, no_state, error, rejected };
+enum class Verdict { broken, served, state_held, busy, no_state, error, rejected };
 
 struct AttemptResult {
   Progress progress = Progress::not_connected;
--- a/src/net/instances/instance_client.cpp
+++ b/src/net/instances/instance_client.cpp
@@ -254,9 +254,9 @@
       return !whole || has_wrong_content_type() || scanner_.failed() ? Verdict::broken : Verdict::served;
     // Only this header proves that nothing was executed; a bare 503 may come from an intermediary.
     const bool not_executed = response.header("X-Turned-Away") == "1";
-    if (not_executed && (status == 503 || status == 504)) return Verdict::turned_away;
+    if (not_executed && (status == 503 || status == 504)) return Verdict::busy;
     if (dialect_ == Dialect::openai) {
-      if (status == 429) return Verdict::turned_away;  // rate limit, applied before any work
+      if (status == 429) return Verdict::busy;  // rate limit, applied before any work
     } else {
       if (status == 202) return whole ? Verdict::state_held : Verdict::broken;
       if (status == 410 && not_executed) return Verdict::no_state;
@@ -395,7 +395,7 @@
          result.progress = call.progress();
          const int status = whole ? call.response().status() : 0;
          result.verdict = status == 200   ? Verdict::served
-                          : status == 503 ? Verdict::turned_away
+                          : status == 503 ? Verdict::busy
                           : status == 0   ? Verdict::broken
                                           : Verdict::error;
          result.report = sse::parse_report(call.body());
--- a/tests/core_rules_test.cpp
+++ b/tests/core_rules_test.cpp
@@ -292,7 +292,7 @@
     TrackedRequest& request = requests[attempt.name];
     if (draw.chance(0.1)) {
       if (!is_prefill(attempt.instance)) --request.may_run;
-      return end(attempt, draw.chance(0.5) ? Verdict::turned_away : Verdict::no_state, Progress::ended);
+      return end(attempt, draw.chance(0.5) ? Verdict::busy : Verdict::no_state, Progress::ended);
     }
     if (draw.chance(0.08)) return end(attempt, Verdict::error, Progress::ended);
     if (draw.chance(0.04)) return end(attempt, Verdict::broken, Progress::written);
--- a/tests/core_test.cpp
+++ b/tests/core_test.cpp
@@ -170,7 +170,7 @@
   CoreFixture w;
   start_unanswered_decode(w, 0);
   w.time.pass(100ms);
-  w.instances.end_attempt(Verdict::turned_away);
+  w.instances.end_attempt(Verdict::busy);
   w.time.settle();
   REQUIRE(w.instances.attempt != nullptr);
   w.instances.finish_write();
@@ -545,7 +545,7 @@
   w.instances.end_attempt(Verdict::state_held);
   w.time.settle();
   const std::string first = w.instances.attempt->name;
-  w.instances.end_attempt(Verdict::turned_away);
+  w.instances.end_attempt(Verdict::busy);
   w.time.settle();
   REQUIRE(w.instances.attempt != nullptr);
   REQUIRE(w.instances.attempt->name != first);
--- a/tests/repeat_test.cpp
+++ b/tests/repeat_test.cpp
@@ -52,7 +52,7 @@
     CHECK_FALSE(proves_not_executed(outcome(Verdict::broken, progress)));
     CHECK_FALSE(proves_not_executed(outcome_given_up(progress, Outcome::timed_out)));
   }
-  CHECK(proves_not_executed(outcome(Verdict::turned_away, Progress::ended)));
+  CHECK(proves_not_executed(outcome(Verdict::busy, Progress::ended)));
   CHECK(proves_not_executed(outcome(Verdict::no_state, Progress::ended)));
   CHECK_FALSE(proves_not_executed(outcome(Verdict::error, Progress::ended)));
   CHECK_FALSE(proves_not_executed(outcome(Verdict::served, Progress::ended)));
