--- a/src/app/request_log.cpp
+++ b/src/app/request_log.cpp
@@ -101,13 +101,13 @@
 
 core::Conductor::Observer request_log(std::vector<std::string> classes, std::vector<std::string> tenants) {
   return [classes = std::move(classes), tenants = std::move(tenants)](const core::RequestRecord& record) {
-    const eiderarch::RequestArrived& arrival = record.ask.facts;
-    std::string tenant = record.ask.payload->tenant;
+    const eiderarch::RequestArrived& arrival = record.client_request.facts;
+    std::string tenant = record.client_request.payload->tenant;
     if (tenant.empty() && arrival.tenant < tenants.size()) tenant = tenants[arrival.tenant];
     const bool known_class = arrival.request_class < classes.size();
     log::write("request", label(record.result), [&]() -> nlohmann::json {
       nlohmann::json fields = {
-          {"request_id", record.ask.payload->id},
+          {"request_id", record.client_request.payload->id},
           {"tenant", tenant.empty() ? nlohmann::json(arrival.tenant) : nlohmann::json(tenant)},
           {"class", known_class ? classes[arrival.request_class] : "?"},
           {"box", record.box},
--- a/src/app/succession.cpp
+++ b/src/app/succession.cpp
@@ -63,8 +63,8 @@
 
 void StreamHandover::send_streams() {
   conductor_.pass_streams([this](const core::RunningStream& stream) {
-    return sender_->send(operations::encode(stream.ask.payload->id, stream), stream.client.descriptor,
-                         stream.instance.descriptor);
+    return sender_->send(operations::encode(stream.client_request.payload->id, stream),
+                         stream.client.descriptor, stream.instance.descriptor);
   });
   send_timer_ = loop_.at(loop_.now() + kSendInterval, [this] { send_streams(); });
 }
--- a/src/core/conductor.cpp
+++ b/src/core/conductor.cpp
@@ -33,11 +33,11 @@
 
 // ---- Calls of the fronts and of discovery ----
 
-RequestId Conductor::take(Ask ask, std::unique_ptr<ClientReply> reply) {
+RequestId Conductor::take(ClientRequest client_request, std::unique_ptr<ClientReply> reply) {
   ++figures_.taken;
   auto owned = std::make_unique<Request>();
   Request& r = *owned;
-  r.ask = std::move(ask);
+  r.client_request = std::move(client_request);
   r.reply = std::move(reply);
   r.arrived = scheduler_.now();
   // Limits memory and sockets: each open request may hold a body and two connections.
@@ -49,7 +49,7 @@
     return 0;
   }
   r.id = r.module_id = ++last_id_;
-  r.ask.facts.id = r.id;
+  r.client_request.facts.id = r.id;
   watch_deadline(r);
   const RequestId id = r.id;
   requests_.emplace(id, std::move(owned));
--- a/src/core/conductor.hpp
+++ b/src/core/conductor.hpp
@@ -35,7 +35,7 @@
 
 // A running stream, as one process of this conductor describes it to its successor.
 struct RunningStream {
-  Ask ask;  // its facts, and of its payload only the id
+  ClientRequest client_request;  // its facts, and of its payload only the id
   std::string box;
   int attempts = 1;
   Duration age{0};    // since the request was accepted
@@ -61,7 +61,7 @@
 
   // Accepts a request and returns its id; returns 0 if it was refused at once, because too many are open or
   // after `abandon`.
-  RequestId take(Ask ask, std::unique_ptr<ClientReply> reply);
+  RequestId take(ClientRequest client_request, std::unique_ptr<ClientReply> reply);
   // Reports that the client has closed its connection.
   void client_gone(RequestId id);
   // Applies an update of the discovery list.
--- a/src/core/request.hpp
+++ b/src/core/request.hpp
@@ -42,7 +42,7 @@
 struct Request : AttemptEvents {
   RequestId id = 0;
   RequestId module_id = 0;  // its id at the module: a new one each time its stream is resumed
-  Ask ask;
+  ClientRequest client_request;
   std::unique_ptr<ClientReply> reply;
   Inbox<RequestEvent> inbox;
   std::unique_ptr<Timer> deadline_timer, decision_timer, attempt_timer, send_timer, stall_timer;
--- a/src/core/request_lifecycle.cpp
+++ b/src/core/request_lifecycle.cpp
@@ -26,7 +26,7 @@
 // client and the timers arrive in one inbox. The outer loop waits for the module's next command, the inner
 // one follows the current attempt, so that there are never two attempts at once.
 Task Conductor::serve(Request& r) {
-  post(r.ask.facts);
+  post(r.client_request.facts);
   bool over = false;
   while (!over) {
     const RequestEvent event = co_await r.inbox.next();
@@ -55,7 +55,7 @@
 }
 
 void Conductor::watch_deadline(Request& r) {
-  const Time deadline = r.ask.facts.deadline;
+  const Time deadline = r.client_request.facts.deadline;
   r.deadline_timer = scheduler_.at(deadline, [&r] { r.inbox.push(DeadlinePassed{}); });
   r.decision_timer = scheduler_.at(deadline + kDecisionGrace, [&r] { r.inbox.push(DecisionOverdue{}); });
 }
@@ -108,15 +108,15 @@
   const eiderarch::Send& command = attempt.command;
   const Fleet::Member* member = fleet_.find(command.engine);
   const Time now = scheduler_.now();
-  if (member == nullptr || r.streaming || now >= r.ask.facts.deadline) return false;
+  if (member == nullptr || r.streaming || now >= r.client_request.facts.deadline) return false;
   if (r.attempts > settings_.module.limits.max_attempts) return false;
   ++figures_.attempts;
-  Duration patience = r.ask.facts.deadline - now;
+  Duration patience = r.client_request.facts.deadline - now;
   if (command.timeout > 0us && command.timeout < patience) {
     patience = command.timeout;
     r.attempt_timer = scheduler_.at(now + patience, [&r] { r.inbox.push(AttemptTimedOut{}); });
   }
-  if (attempt.prefill) held_.add_prefill(r.id, r.ask.payload, command.engine);
+  if (attempt.prefill) held_.add_prefill(r.id, r.client_request.payload, command.engine);
   r.instance = command.engine;
   r.execution_recorded = false;
   if (command.by > 0us) r.send_timer = scheduler_.at(command.by, [&r] { r.inbox.push(SendTooLate{}); });
@@ -133,13 +133,13 @@
     // A pending release there would release what this attempt is about to create or fetch. From here on the
     // attempt accounts for what that release covered. The release continues while the attempt connects, since
     // a request that has not arrived does not stop the release clock.
-    r.inherited_release |= held_.withdraw_releases(r.id, r.ask.payload, instance);
+    r.inherited_release |= held_.withdraw_releases(r.id, r.client_request.payload, instance);
     return true;
   };
   // A prefill has no effect, and new connections are expensive for busy prefill instances.
   const bool harmless = attempt.prefill || repeat_safe(r);
   const ConnectionTerms terms{harmless};
-  r.attempt = instances_.start(member->target, r.ask.payload, not_after, terms, may_write, r);
+  r.attempt = instances_.start(member->target, r.client_request.payload, not_after, terms, may_write, r);
   return true;
 }
 
@@ -229,14 +229,15 @@
     held_.remove_holder(r.id, instance);
     const bool may_go_on = !never_ran && !end.answered && !end.ended_by_instance;
     if (may_go_on) {
-      held_.release_cut_off_prefill(r.id, r.ask.payload, instance, r.ask.facts.deadline);
+      held_.release_cut_off_prefill(r.id, r.client_request.payload, instance,
+                                    r.client_request.facts.deadline);
     } else if (!never_ran || inherited_release) {
-      held_.release_at(r.id, r.ask.payload, instance);
+      held_.release_at(r.id, r.client_request.payload, instance);
     }
     return;
   }
   if (never_ran && inherited_release) {
-    held_.release_at(r.id, r.ask.payload, instance);
+    held_.release_at(r.id, r.client_request.payload, instance);
     return;
   }
   // Its connection may have stopped delivering data: then the instance has not received the close, and keeps
@@ -244,7 +245,7 @@
   const bool may_still_hold =
       end.outcome == Outcome::timed_out || end.outcome == Outcome::cancelled || end.outcome == Outcome::reset;
   if (may_still_hold && !r.streaming && end.answer == nullptr && held_.may_hold_any(r.id)) {
-    held_.add_holder(r.id, r.ask.payload, instance);
+    held_.add_holder(r.id, r.client_request.payload, instance);
   }
   // A write into a local socket proves nothing: only an answer shows that the attempt had arrived.
   end.answered ? held_.restart_clock(r.id) : held_.continue_clock(r.id);
@@ -349,8 +350,9 @@
   if (what == nullptr) return;
   const Fleet::Member* member = fleet_.find(attempt.command.engine);
   const Duration after = scheduler_.now() - attempt.sent;
-  log_("attempt", "request " + r.ask.name + " at " + (member != nullptr ? member->target.id : "?") + ": " +
-                      what + " after " + std::to_string(after.count() / 1000) + " ms" +
+  log_("attempt", "request " + r.client_request.name + " at " +
+                      (member != nullptr ? member->target.id : "?") + ": " + what + " after " +
+                      std::to_string(after.count() / 1000) + " ms" +
                       (r.streaming ? ", within its stream" : ""));
 }
 
@@ -367,12 +369,12 @@
 void Conductor::reserve(Request& r, EngineId decode_instance) {
   const Fleet::Member* member = fleet_.find(decode_instance);
   if (member == nullptr || !may_send(decode_instance)) return;
-  held_.reservation_requested(r.id, r.ask.payload, decode_instance);
+  held_.reservation_requested(r.id, r.client_request.payload, decode_instance);
   const int number = r.attempt_number();
   instances_.claim(
-      member->target, r.ask.payload, [this, decode_instance] { return may_send(decode_instance); },
+      member->target, r.client_request.payload, [this, decode_instance] { return may_send(decode_instance); },
       [this, id = r.id, module_id = r.module_id, number, decode_instance,
-       payload = r.ask.payload](ClaimAnswer answer) {
+       payload = r.client_request.payload](ClaimAnswer answer) {
         reservation_answered(id, payload, decode_instance, number, module_id, answer);
       });
 }
@@ -412,7 +414,7 @@
   if (it == requests_.end()) return;
   Request& r = *it->second;
   const Fleet::Member* member = fleet_.find(r.instance);
-  log_("held", "request " + r.ask.name + ": released what was held for " +
+  log_("held", "request " + r.client_request.name + ": released what was held for " +
                    std::to_string(held_for.count() / 1000) + " ms; " +
                    (r.attempt == nullptr ? "no attempt is active"
                                          : "no answer yet to its attempt at " +
@@ -427,7 +429,7 @@
 
 // A class that the settings do not name must not be repeated.
 eiderarch::RequestClass Conductor::request_class(const Request& r) const {
-  const std::uint32_t cls = r.ask.facts.request_class;
+  const std::uint32_t cls = r.client_request.facts.request_class;
   return cls < settings_.module.classes.size() ? settings_.module.classes[cls] : eiderarch::RequestClass{};
 }
 
@@ -452,8 +454,8 @@
 }
 
 void Conductor::fail_forbidden_repeat(Request& r) {
-  log_("guard",
-       "request " + r.ask.name + " may have been executed: its class forbids a further attempt or a refusal");
+  log_("guard", "request " + r.client_request.name +
+                    " may have been executed: its class forbids a further attempt or a refusal");
   post(eiderarch::RequestGone{r.module_id});
   if (r.resumed) return break_off(r);
   fail(r, Ending::Cause::failed);
@@ -496,10 +498,10 @@
 }
 
 void Conductor::report_end(const Request& r) {
-  figures_.count_end(r.ask.facts.request_class, r.result);
+  figures_.count_end(r.client_request.facts.request_class, r.result);
   if (!observer_) return;
   const Fleet::Member* member = r.attempts > 0 ? fleet_.find(r.instance) : nullptr;
-  observer_({r.ask, r.result, r.ending, member != nullptr ? member->target.id : "", r.attempts,
+  observer_({r.client_request, r.result, r.ending, member != nullptr ? member->target.id : "", r.attempts,
              r.first ? *r.first - r.arrived : Duration{-1}, scheduler_.now() - r.arrived, r.trail});
 }
 
--- a/src/core/request_record.hpp
+++ b/src/core/request_record.hpp
@@ -10,7 +10,7 @@
 namespace bankmux::core {
 
 // A request as its front hands it to the conductor.
-struct Ask {
+struct ClientRequest {
   eiderarch::RequestArrived facts;  // the conductor sets its id
   PayloadPtr payload;
   std::string name;  // the request's id as its client sent it, for the log
@@ -31,7 +31,7 @@
 struct RequestRecord {
   // passed_on: another process of this conductor continues the stream and reports its end.
   enum class Result { served, refused, failed, broken, rejected, gone, passed_on };
-  const Ask& ask;
+  const ClientRequest& client_request;
   Result result = Result::failed;
   Ending ending;    // set unless it was served, rejected or abandoned by its client
   std::string box;  // the instance of the last attempt; empty: there was none
--- a/src/core/shutdown.cpp
+++ b/src/core/shutdown.cpp
@@ -32,7 +32,7 @@
     const Fleet::Member* member = fleet_.find(r.instance);
     if (!instance || member == nullptr) continue;
     const Time now = scheduler_.now();
-    if (!take({r.ask, member->target.id, r.attempts, now - r.arrived, *r.first - r.arrived,
+    if (!take({r.client_request, member->target.id, r.attempts, now - r.arrived, *r.first - r.arrived,
                std::move(*client), std::move(*instance)})) {
       continue;  // not accepted, or not now
     }
@@ -48,9 +48,9 @@
   ++figures_.taken_over;
   auto owned = std::make_unique<Request>();
   Request& r = *owned;
-  r.ask = stream.ask;
+  r.client_request = stream.client_request;
   r.reply = std::move(reply);
-  r.id = r.module_id = r.ask.facts.id = ++last_id_;
+  r.id = r.module_id = r.client_request.facts.id = ++last_id_;
   r.arrived = scheduler_.now() - stream.age;
   r.first = r.arrived + stream.first;
   r.streaming = true;
--- a/src/core/stream.cpp
+++ b/src/core/stream.cpp
@@ -93,8 +93,8 @@
   r.streaming = false;
   r.ending.ended_by_error_event = false;
   r.attempts_before = r.attempts;
-  r.ask.payload = continuation.payload;
-  eiderarch::RequestArrived& facts = r.ask.facts;
+  r.client_request.payload = continuation.payload;
+  eiderarch::RequestArrived& facts = r.client_request.facts;
   r.module_id = facts.id = ++last_id_;
   aliases_[r.module_id] = r.id;
   facts.resumed = true;
--- a/src/net/openai/front.cpp
+++ b/src/net/openai/front.cpp
@@ -371,7 +371,7 @@
   }
   payload->body = std::move(prepared.body);
   payload->streamed = prepared.facts.streamed;
-  core::Ask ask{prepared.facts.arrived, payload, payload->id};
+  core::ClientRequest ask{prepared.facts.arrived, payload, payload->id};
   ask.facts.tenant = appliance_.tenant_number(ticket->tenant);
   ask.facts.deadline = scheduler_.now() + prepared.facts.patience;
   Incoming& client = *incoming;
--- a/src/net/platform/platform_front.cpp
+++ b/src/net/platform/platform_front.cpp
@@ -75,9 +75,9 @@
   if (!prompt_length_seen) throw BadHeader{"X-Labels lacks prompt_len"};
 }
 
-core::Ask parse_request(Incoming& incoming, core::Time now, const std::vector<std::string>& classes,
-                        const std::vector<std::string>& tenants) {
-  core::Ask ask;
+core::ClientRequest parse_request(Incoming& incoming, core::Time now, const std::vector<std::string>& classes,
+                                  const std::vector<std::string>& tenants) {
+  core::ClientRequest ask;
   auto payload = std::make_shared<core::Payload>();
   payload->id = ask.name = request_id(incoming);
   const std::string lane = required_header(incoming, "X-Lane");
@@ -137,7 +137,7 @@
     incoming->answer(405, {}, "");
     return;
   }
-  core::Ask ask;
+  core::ClientRequest ask;
   try {
     ask = parse_request(*incoming, scheduler_.now(), classes_, tenants_);
   } catch (const BadHeader& bad) {
@@ -159,15 +159,15 @@
 void PlatformFront::take_over(const std::string& name, core::RunningStream stream, HttpServer& clients,
                               const core::Conductor::MakeAttempt& make) {
   std::unique_ptr<Incoming> incoming = clients.take_over(stream.client);
-  if (incoming == nullptr || stream.ask.facts.request_class >= classes_.size() ||
+  if (incoming == nullptr || stream.client_request.facts.request_class >= classes_.size() ||
       !open_ids_->insert(name).second) {
     // Nothing else owns the instance's descriptor yet, so it is closed here.
     (void)close(stream.instance.descriptor);
     return;
   }
   auto payload = std::make_shared<core::Payload>();
-  payload->id = stream.ask.name = name;
-  stream.ask.payload = std::move(payload);
+  payload->id = stream.client_request.name = name;
+  stream.client_request.payload = std::move(payload);
   // Registered first: if the attempt cannot be created, the request ends before its id is known here.
   auto id = std::make_shared<core::RequestId>(0);
   incoming->on_gone([this, id] { conductor_.client_gone(*id); });
--- a/src/net/platform/platform_front.hpp
+++ b/src/net/platform/platform_front.hpp
@@ -1,4 +1,5 @@
-// Front for the platform protocol: translates client requests to core::Ask, and replies back to HTTP.
+// Front for the platform protocol: translates client requests to core::ClientRequest, and replies back to
+// HTTP.
 #pragma once
 
 #include <memory>
--- a/src/operations/passed_stream.cpp
+++ b/src/operations/passed_stream.cpp
@@ -64,7 +64,7 @@
 }  // namespace
 
 std::string encode(const std::string& name, const core::RunningStream& stream) {
-  const eiderarch::RequestArrived& facts = stream.ask.facts;
+  const eiderarch::RequestArrived& facts = stream.client_request.facts;
   std::string message;
   json::to_cbor({{"format", kFormat},
                  {"name", name},
@@ -95,9 +95,9 @@
     });
     if (!valid_name) return std::nullopt;
     core::RunningStream& stream = result.stream;
-    stream.ask.facts.request_class = std::uint32_t(reader.integer("class", 0, kMaxIndex));
-    stream.ask.facts.tenant = std::uint32_t(reader.integer("tenant", 0, kMaxIndex));
-    stream.ask.facts.prompt_tokens = reader.integer("prompt", 0, kMaxTokens);
+    stream.client_request.facts.request_class = std::uint32_t(reader.integer("class", 0, kMaxIndex));
+    stream.client_request.facts.tenant = std::uint32_t(reader.integer("tenant", 0, kMaxIndex));
+    stream.client_request.facts.prompt_tokens = reader.integer("prompt", 0, kMaxTokens);
     stream.box = reader.text("box", kMaxInstanceIdBytes);
     stream.attempts = int(reader.integer("attempts", 1, kMaxAttempts));
     stream.age = core::Duration(reader.integer("age", 0, kMaxTimeUs));
--- a/tests/core_rules_test.cpp
+++ b/tests/core_rules_test.cpp
@@ -206,18 +206,18 @@
   }
 
   void send_request() {
-    Ask incoming;
-    incoming.facts.request_class = std::uint32_t(draw.pick(0, int(s.classes.size()) - 1));
-    incoming.facts.tenant = std::uint32_t(draw.pick(0, int(s.tenants.size())));
-    incoming.facts.session = eiderarch::Key(draw.pick(1, 30));
-    incoming.facts.prefix = eiderarch::Key(draw.pick(0, 4));
-    incoming.facts.prompt_tokens = draw.pick(1, 9000);
-    incoming.facts.prefix_tokens =
-        incoming.facts.prefix == 0 ? 0 : std::min<Tokens>(incoming.facts.prompt_tokens, 1500);
-    incoming.facts.max_output = 300;
-    incoming.facts.resumed = draw.chance(0.1);
-    const eiderarch::RequestClass& cls = s.classes[incoming.facts.request_class];
-    incoming.facts.deadline =
+    ClientRequest client_request;
+    client_request.facts.request_class = std::uint32_t(draw.pick(0, int(s.classes.size()) - 1));
+    client_request.facts.tenant = std::uint32_t(draw.pick(0, int(s.tenants.size())));
+    client_request.facts.session = eiderarch::Key(draw.pick(1, 30));
+    client_request.facts.prefix = eiderarch::Key(draw.pick(0, 4));
+    client_request.facts.prompt_tokens = draw.pick(1, 9000);
+    client_request.facts.prefix_tokens =
+        client_request.facts.prefix == 0 ? 0 : std::min<Tokens>(client_request.facts.prompt_tokens, 1500);
+    client_request.facts.max_output = 300;
+    client_request.facts.resumed = draw.chance(0.1);
+    const eiderarch::RequestClass& cls = s.classes[client_request.facts.request_class];
+    client_request.facts.deadline =
         time.now() + Duration(std::int64_t(double(cls.deadline.count()) * draw.between(0.3, 1.0)));
     auto payload = std::make_shared<Payload>();
     payload->id = "r" + std::to_string(++last_request_);
@@ -225,8 +225,8 @@
     auto reply = std::make_unique<Reply>(*this, payload->id);
     reply->keyed_ = cls.effect == eiderarch::Effect::keyed;
     const std::string name = payload->id;
-    incoming.payload = std::move(payload);
-    const RequestId id = conductor->take(std::move(incoming), std::move(reply));
+    client_request.payload = std::move(payload);
+    const RequestId id = conductor->take(std::move(client_request), std::move(reply));
     if (id != 0) open_[name] = id;
   }
 
--- a/tests/core_world.hpp
+++ b/tests/core_world.hpp
@@ -153,12 +153,12 @@
   }
   // `continuations`: how many times the reply can continue an answer whose instance was lost.
   RequestId send_request(std::uint32_t cls, Tokens prompt, Duration patience = 5s, int continuations = 0) {
-    Ask incoming;
-    incoming.facts.request_class = cls;
-    incoming.facts.session = 7;
-    incoming.facts.prompt_tokens = prompt;
-    incoming.facts.deadline = time.now() + patience;
-    const RequestId id = conductor->take(std::move(incoming),
+    ClientRequest client_request;
+    client_request.facts.request_class = cls;
+    client_request.facts.session = 7;
+    client_request.facts.prompt_tokens = prompt;
+    client_request.facts.deadline = time.now() + patience;
+    const RequestId id = conductor->take(std::move(client_request),
                                          std::make_unique<FakeReply>(answers, continuations, client_closed));
     time.settle();
     return id;
--- a/tests/handover_test.cpp
+++ b/tests/handover_test.cpp
@@ -21,9 +21,9 @@
 
 core::RunningStream random_stream() {
   core::RunningStream stream;
-  stream.ask.facts.request_class = *rc::gen::inRange<std::uint32_t>(0, 50);
-  stream.ask.facts.tenant = *rc::gen::inRange<std::uint32_t>(0, 50);
-  stream.ask.facts.prompt_tokens = *rc::gen::inRange(0, 1'000'000);
+  stream.client_request.facts.request_class = *rc::gen::inRange<std::uint32_t>(0, 50);
+  stream.client_request.facts.tenant = *rc::gen::inRange<std::uint32_t>(0, 50);
+  stream.client_request.facts.prompt_tokens = *rc::gen::inRange(0, 1'000'000);
   stream.box = *rc::gen::nonEmpty(rc::gen::container<std::string>(rc::gen::inRange('a', 'z')));
   stream.attempts = *rc::gen::inRange(1, 9);
   stream.first = core::Duration(*rc::gen::inRange(0, 9'000'000));
@@ -43,9 +43,9 @@
     RC_ASSERT(back.has_value());
     RC_ASSERT(back->name == "r-1");
     RC_ASSERT(back->stream.box == stream.box);
-    RC_ASSERT(back->stream.ask.facts.request_class == stream.ask.facts.request_class);
-    RC_ASSERT(back->stream.ask.facts.tenant == stream.ask.facts.tenant);
-    RC_ASSERT(back->stream.ask.facts.prompt_tokens == stream.ask.facts.prompt_tokens);
+    RC_ASSERT(back->stream.client_request.facts.request_class == stream.client_request.facts.request_class);
+    RC_ASSERT(back->stream.client_request.facts.tenant == stream.client_request.facts.tenant);
+    RC_ASSERT(back->stream.client_request.facts.prompt_tokens == stream.client_request.facts.prompt_tokens);
     RC_ASSERT(back->stream.attempts == stream.attempts);
     RC_ASSERT(back->stream.age == stream.age);
     RC_ASSERT(back->stream.first == stream.first);
@@ -216,7 +216,7 @@
     conductor->update_fleet({eiderarch::ListScope::changes, {listed}});
   }
   void ask() {
-    core::Ask ask;
+    core::ClientRequest ask;
     ask.facts.prompt_tokens = 100;
     ask.facts.deadline = time.now() + 5s;
     auto payload = std::make_shared<core::Payload>();
