--- a/src/core/conductor.cpp
+++ b/src/core/conductor.cpp
@@ -33,7 +33,7 @@
 
 // ---- Calls of the fronts and of discovery ----
 
-RequestId Conductor::take(ClientRequest client_request, std::unique_ptr<ClientReply> reply) {
+RequestId Conductor::accept(ClientRequest client_request, std::unique_ptr<ClientReply> reply) {
   ++figures_.taken;
   auto owned = std::make_unique<Request>();
   Request& r = *owned;
--- a/src/core/conductor.hpp
+++ b/src/core/conductor.hpp
@@ -61,7 +61,7 @@
 
   // Accepts a request and returns its id; returns 0 if it was refused at once, because too many are open or
   // after `abandon`.
-  RequestId take(ClientRequest client_request, std::unique_ptr<ClientReply> reply);
+  RequestId accept(ClientRequest client_request, std::unique_ptr<ClientReply> reply);
   // Reports that the client has closed its connection.
   void client_gone(RequestId id);
   // Applies an update of the discovery list.
--- a/src/net/openai/front.cpp
+++ b/src/net/openai/front.cpp
@@ -389,7 +389,7 @@
       std::move(common),  prepared.facts.streamed,     std::move(prepared.formatter),
       std::move(account), std::move(recovery),         original_request,
       appliance_.seam,    appliance_.stream_keep_alive};
-  const core::RequestId id = conductor_.take(
+  const core::RequestId id = conductor_.accept(
       std::move(ask),
       std::make_unique<openai::Reply>(std::move(incoming), scheduler_, std::move(reply_options)));
   if (id != 0) client.on_gone([this, id] { conductor_.client_gone(id); });
--- a/src/net/platform/platform_front.cpp
+++ b/src/net/platform/platform_front.cpp
@@ -151,8 +151,8 @@
     return;
   }
   Incoming& client = *incoming;
-  const core::RequestId id =
-      conductor_.take(std::move(ask), std::make_unique<PlatformReply>(std::move(incoming), open_ids_, name));
+  const core::RequestId id = conductor_.accept(
+      std::move(ask), std::make_unique<PlatformReply>(std::move(incoming), open_ids_, name));
   if (id != 0) client.on_gone([this, id] { conductor_.client_gone(id); });
 }
 
--- a/tests/core_rules_test.cpp
+++ b/tests/core_rules_test.cpp
@@ -226,7 +226,7 @@
     reply->keyed_ = cls.effect == eiderarch::Effect::keyed;
     const std::string name = payload->id;
     client_request.payload = std::move(payload);
-    const RequestId id = conductor->take(std::move(client_request), std::move(reply));
+    const RequestId id = conductor->accept(std::move(client_request), std::move(reply));
     if (id != 0) open_[name] = id;
   }
 
--- a/tests/core_world.hpp
+++ b/tests/core_world.hpp
@@ -158,8 +158,8 @@
     client_request.facts.session = 7;
     client_request.facts.prompt_tokens = prompt;
     client_request.facts.deadline = time.now() + patience;
-    const RequestId id = conductor->take(std::move(client_request),
-                                         std::make_unique<FakeReply>(answers, continuations, client_closed));
+    const RequestId id = conductor->accept(
+        std::move(client_request), std::make_unique<FakeReply>(answers, continuations, client_closed));
     time.settle();
     return id;
   }
--- a/tests/handover_test.cpp
+++ b/tests/handover_test.cpp
@@ -222,7 +222,7 @@
     auto payload = std::make_shared<core::Payload>();
     payload->id = "r-1";
     ask.payload = payload;
-    conductor->take(std::move(ask), std::make_unique<FakeReply>(log));
+    conductor->accept(std::move(ask), std::make_unique<FakeReply>(log));
     time.settle();
   }
   core::RequestId take_over(const core::RunningStream& stream) {
