--- a/src/app/operations.cpp
+++ b/src/app/operations.cpp
@@ -66,7 +66,7 @@
   log::write("maintenance", id + (out_of_rotation ? " taken out of rotation" : " put back into rotation") +
                                 (written ? "" : ": cannot write the maintenance file"));
   if (!written || (out_of_rotation && !updated.contains(id))) return false;
-  conductor_.maintain(std::move(updated));
+  conductor_.set_maintenance(std::move(updated));
   return true;
 }
 
@@ -76,7 +76,7 @@
   const auto ids = text ? operations::decode(*text) : std::nullopt;
   // An unreadable file changes nothing: instances in maintenance stay out of rotation.
   if (!ids) return log::write("maintenance", "cannot read the maintenance file; keeping the current state");
-  conductor_.maintain(*ids);
+  conductor_.set_maintenance(*ids);
 }
 
 void PlatformManagement::poll() {
--- a/src/core/conductor.cpp
+++ b/src/core/conductor.cpp
@@ -73,9 +73,9 @@
   post(std::move(event));
 }
 
-void Conductor::maintain(std::set<std::string> ids) {
+void Conductor::set_maintenance(std::set<std::string> ids) {
   eiderarch::ListChanged event{eiderarch::ListScope::changes, {}};
-  for (const EngineId instance : fleet_.set_out(scheduler_.now(), std::move(ids))) {
+  for (const EngineId instance : fleet_.set_maintenance(scheduler_.now(), std::move(ids))) {
     event.entries.push_back(fleet_.told(instance));
     // Connections from before its restart are no longer valid.
     instances_.forget(fleet_.find(instance)->target);
--- a/src/core/conductor.hpp
+++ b/src/core/conductor.hpp
@@ -68,7 +68,7 @@
   void update_fleet(const FleetUpdate& list_update);
   // Sets the complete list of ids that operators have taken out of rotation. Nothing new is sent there from
   // now on, whatever the discovery list says; an instance that returns counts as just started.
-  void maintain(std::set<std::string> ids);
+  void set_maintenance(std::set<std::string> ids);
   // Number of listed instances, and of those that get nothing at present: out for maintenance, draining, or
   // set aside by the module.
   [[nodiscard]] std::size_t listed() const;
--- a/src/core/fleet.cpp
+++ b/src/core/fleet.cpp
@@ -57,7 +57,7 @@
   return lost;
 }
 
-std::vector<EngineId> Fleet::set_out(Time now, std::set<std::string> ids) {
+std::vector<EngineId> Fleet::set_maintenance(Time now, std::set<std::string> ids) {
   maintenance_ids_ = std::move(ids);
   std::vector<EngineId> changed;
   for (auto& [id, member] : members_) {
--- a/src/core/fleet.hpp
+++ b/src/core/fleet.hpp
@@ -32,7 +32,7 @@
   // Replaces the set of ids that are out for maintenance; returns the instances for which that changed. One
   // that returns to rotation counts as started now: operators restart it meanwhile, and the list may not have
   // said so.
-  std::vector<EngineId> set_out(Time now, std::set<std::string> ids);
+  std::vector<EngineId> set_maintenance(Time now, std::set<std::string> ids);
   // Records that the instance has answered something.
   void record_answer(EngineId engine, Time now);
   // The entry as reported to the module: an instance that is out for maintenance counts as draining.
--- a/tests/operations_test.cpp
+++ b/tests/operations_test.cpp
@@ -80,12 +80,12 @@
   const auto live = eiderarch::EngineState::live;
   const auto draining = eiderarch::EngineState::draining;
   fleet.update(1s, {eiderarch::ListScope::complete, {listed("a", 1), listed("b", 2)}});
-  CHECK(fleet.set_out(2s, {"a"}) == std::vector<core::EngineId>{1});
+  CHECK(fleet.set_maintenance(2s, {"a"}) == std::vector<core::EngineId>{1});
   CHECK(fleet.told(1).state == draining);
   fleet.update(3s, {eiderarch::ListScope::complete, {listed("a", 1), listed("b", 2)}});
   CHECK(fleet.told(1).state == draining);
-  CHECK(fleet.set_out(4s, {"a"}).empty());  // already out
-  CHECK(fleet.set_out(9s, {}) == std::vector<core::EngineId>{1});
+  CHECK(fleet.set_maintenance(4s, {"a"}).empty());  // already out
+  CHECK(fleet.set_maintenance(9s, {}) == std::vector<core::EngineId>{1});
   CHECK(fleet.told(1).state == live);
   CHECK(fleet.told(1).started == 9s);
   CHECK(fleet.told(2).started == 0s);
@@ -95,7 +95,7 @@
 
 TEST_CASE("An instance put into maintenance before it is listed drains from its first entry on") {
   core::Fleet fleet;
-  CHECK(fleet.set_out(1s, {"a"}).empty());
+  CHECK(fleet.set_maintenance(1s, {"a"}).empty());
   CHECK(fleet.knows("a"));
   CHECK_FALSE(fleet.knows("b"));
   fleet.update(2s, {eiderarch::ListScope::complete, {listed("a", 1)}});
