--- a/src/core/conductor.cpp
+++ b/src/core/conductor.cpp
@@ -69,14 +69,15 @@
   }
   if (list_update.scope == eiderarch::ListScope::changes && list_update.entries.empty()) return;
   eiderarch::ListChanged event{list_update.scope, {}};
-  for (const Listed& row : list_update.entries) event.entries.push_back(fleet_.told(row.entry.engine));
+  for (const Listed& row : list_update.entries)
+    event.entries.push_back(fleet_.module_entry(row.entry.engine));
   post(std::move(event));
 }
 
 void Conductor::set_maintenance(std::set<std::string> ids) {
   eiderarch::ListChanged event{eiderarch::ListScope::changes, {}};
   for (const EngineId instance : fleet_.set_maintenance(scheduler_.now(), std::move(ids))) {
-    event.entries.push_back(fleet_.told(instance));
+    event.entries.push_back(fleet_.module_entry(instance));
     // Connections from before its restart are no longer valid.
     instances_.forget(fleet_.find(instance)->target);
   }
--- a/src/core/fleet.cpp
+++ b/src/core/fleet.cpp
@@ -74,7 +74,7 @@
   if (const auto it = members_.find(engine); it != members_.end()) it->second.last_answer = now;
 }
 
-eiderarch::EngineEntry Fleet::told(EngineId engine) const {
+eiderarch::EngineEntry Fleet::module_entry(EngineId engine) const {
   const Member& member = members_.at(engine);
   eiderarch::EngineEntry entry = member.entry;
   if (member.out && entry.state == EngineState::live) entry.state = EngineState::draining;
--- a/src/core/fleet.hpp
+++ b/src/core/fleet.hpp
@@ -36,7 +36,7 @@
   // Records that the instance has answered something.
   void record_answer(EngineId engine, Time now);
   // The entry as reported to the module: an instance that is out for maintenance counts as draining.
-  [[nodiscard]] eiderarch::EngineEntry told(EngineId engine) const;
+  [[nodiscard]] eiderarch::EngineEntry module_entry(EngineId engine) const;
   // Whether the list names an instance with that id, or the id is out for maintenance.
   [[nodiscard]] bool knows(const std::string& id) const;
   [[nodiscard]] const Member* find(EngineId engine) const;
--- a/tests/operations_test.cpp
+++ b/tests/operations_test.cpp
@@ -81,16 +81,16 @@
   const auto draining = eiderarch::EngineState::draining;
   fleet.update(1s, {eiderarch::ListScope::complete, {listed("a", 1), listed("b", 2)}});
   CHECK(fleet.set_maintenance(2s, {"a"}) == std::vector<core::EngineId>{1});
-  CHECK(fleet.told(1).state == draining);
+  CHECK(fleet.module_entry(1).state == draining);
   fleet.update(3s, {eiderarch::ListScope::complete, {listed("a", 1), listed("b", 2)}});
-  CHECK(fleet.told(1).state == draining);
+  CHECK(fleet.module_entry(1).state == draining);
   CHECK(fleet.set_maintenance(4s, {"a"}).empty());  // already out
   CHECK(fleet.set_maintenance(9s, {}) == std::vector<core::EngineId>{1});
-  CHECK(fleet.told(1).state == live);
-  CHECK(fleet.told(1).started == 9s);
-  CHECK(fleet.told(2).started == 0s);
+  CHECK(fleet.module_entry(1).state == live);
+  CHECK(fleet.module_entry(1).started == 9s);
+  CHECK(fleet.module_entry(2).started == 0s);
   fleet.update(10s, {eiderarch::ListScope::changes, {listed("a", 1)}});
-  CHECK(fleet.told(1).started == 9s);  // the list's own start time does not replace it
+  CHECK(fleet.module_entry(1).started == 9s);  // the list's own start time does not replace it
 }
 
 TEST_CASE("An instance put into maintenance before it is listed drains from its first entry on") {
@@ -99,5 +99,5 @@
   CHECK(fleet.knows("a"));
   CHECK_FALSE(fleet.knows("b"));
   fleet.update(2s, {eiderarch::ListScope::complete, {listed("a", 1)}});
-  CHECK(fleet.told(1).state == eiderarch::EngineState::draining);
+  CHECK(fleet.module_entry(1).state == eiderarch::EngineState::draining);
 }
