--- a/src/core/conductor.cpp
+++ b/src/core/conductor.cpp
@@ -94,7 +94,7 @@
   for (const EngineId instance : router_.set_aside(scheduler_.now())) set_aside.insert(instance);
   return std::size_t(std::ranges::count_if(fleet_.members(), [&set_aside](const auto& p) {
     const Fleet::Member& member = p.second;
-    const bool unavailable = member.out || member.entry.state == eiderarch::EngineState::draining;
+    const bool unavailable = member.in_maintenance || member.entry.state == eiderarch::EngineState::draining;
     return member.entry.state != eiderarch::EngineState::gone && (unavailable || set_aside.contains(p.first));
   }));
 }
--- a/src/core/fleet.cpp
+++ b/src/core/fleet.cpp
@@ -46,7 +46,7 @@
     if (member.entry.kind == eiderarch::kKindNotNamed) member.entry.kind = kind_before;
     member.entry.started = started;
     member.target = {row.entry.engine, row.id, row.address.empty() ? member.target.address : row.address};
-    member.out = maintenance_ids_.contains(row.id);
+    member.in_maintenance = maintenance_ids_.contains(row.id);
     if (row.entry.state == EngineState::live) {
       member.draining_since.reset();
     } else if (!member.draining_since) {
@@ -62,8 +62,8 @@
   std::vector<EngineId> changed;
   for (auto& [id, member] : members_) {
     const bool in_maintenance = maintenance_ids_.contains(member.target.id);
-    if (in_maintenance == member.out) continue;
-    member.out = in_maintenance;
+    if (in_maintenance == member.in_maintenance) continue;
+    member.in_maintenance = in_maintenance;
     if (!in_maintenance) member.entry.started = now;
     changed.push_back(id);
   }
@@ -77,7 +77,7 @@
 eiderarch::EngineEntry Fleet::module_entry(EngineId engine) const {
   const Member& member = members_.at(engine);
   eiderarch::EngineEntry entry = member.entry;
-  if (member.out && entry.state == EngineState::live) entry.state = EngineState::draining;
+  if (member.in_maintenance && entry.state == EngineState::live) entry.state = EngineState::draining;
   return entry;
 }
 
--- a/src/core/fleet.hpp
+++ b/src/core/fleet.hpp
@@ -18,7 +18,7 @@
     Target target;
     eiderarch::EngineEntry entry;
     std::optional<Time> draining_since;  // since when it is known to drain or to be gone
-    bool out = false;                    // taken out of rotation by an operator for maintenance
+    bool in_maintenance = false;         // taken out of rotation by an operator for maintenance
     Time listed_start{0};  // start as listed; `entry.started` is never later than when it was received
     Time last_answer{0};   // when it last answered anything to this process
   };
--- a/src/core/release_delivery.cpp
+++ b/src/core/release_delivery.cpp
@@ -197,7 +197,7 @@
   };
   if (release.others_called.size() >= kMaxOtherInstances) return {};
   for (const auto& [instance, member] : fleet_.members()) {
-    const bool live = member.entry.state == eiderarch::EngineState::live && !member.out;
+    const bool live = member.entry.state == eiderarch::EngineState::live && !member.in_maintenance;
     if (!live || instance == release.order.instance || release.others_called.contains(instance)) continue;
     if (member.entry.zone == settings_.zone && later(member, near)) near = &member;
     if (later(member, any)) any = &member;
--- a/src/core/request_lifecycle.cpp
+++ b/src/core/request_lifecycle.cpp
@@ -360,7 +360,7 @@
 // the drain's grace after the drain was announced, connecting included.
 bool Conductor::may_send(EngineId instance) const {
   const Fleet::Member* member = fleet_.find(instance);
-  if (member == nullptr || member->out) return false;
+  if (member == nullptr || member->in_maintenance) return false;
   const Duration grace =
       std::max<Duration>(settings_.module.rules.drain_grace - kDrainMargin - settings_.discovery_delay, 0us);
   return !member->draining_since || scheduler_.now() - *member->draining_since < grace;
