--- a/src/core/conductor.cpp
+++ b/src/core/conductor.cpp
@@ -99,7 +99,7 @@
   }));
 }
 
-std::size_t Conductor::out_at(EngineId instance) const {
+std::size_t Conductor::active_attempts_at(EngineId instance) const {
   return std::size_t(std::ranges::count_if(requests_, [instance](const auto& p) {
     return p.second->attempt != nullptr && p.second->instance == instance;
   }));
--- a/src/core/conductor.hpp
+++ b/src/core/conductor.hpp
@@ -96,7 +96,7 @@
   [[nodiscard]] const Figures& figures() const { return figures_; }
   [[nodiscard]] const ReleaseFigures& release_figures() const { return held_.release_figures(); }
   // Number of this conductor's current attempts at an instance.
-  [[nodiscard]] std::size_t out_at(EngineId instance) const;
+  [[nodiscard]] std::size_t active_attempts_at(EngineId instance) const;
 
  private:
   // The end of an attempt and what follows from it.
--- a/src/net/appliance/operator_page.cpp
+++ b/src/net/appliance/operator_page.cpp
@@ -104,7 +104,7 @@
                               {"address", instance.address},
                               {"state", state_name(member.entry.state)},
                               {"weight", instance.weight},
-                              {"out", conductor_.out_at(engine)}});
+                              {"out", conductor_.active_attempts_at(engine)}});
     }
   }
   out["door"] = {{"keys", door_.keys() ? json(door_.keys()->keys().size()) : json(nullptr)},
--- a/tests/handover_test.cpp
+++ b/tests/handover_test.cpp
@@ -276,7 +276,7 @@
 
   second.take_over(passed);
   CHECK(second.conductor->open_requests() == 1);
-  CHECK(second.conductor->out_at(5) == 1);
+  CHECK(second.conductor->active_attempts_at(5) == 1);
   second.instances.current->events.on_data("b");
   second.end_attempt(core::Verdict::served);
   CHECK(second.log == Log{"b", "close", "end"});
