--- a/src/core/conductor.hpp
+++ b/src/core/conductor.hpp
@@ -89,7 +89,7 @@
                       const MakeAttempt& make);
 
   [[nodiscard]] std::size_t open_requests() const { return requests_.size(); }
-  [[nodiscard]] std::size_t most_requests() const { return settings_.max_requests; }
+  [[nodiscard]] std::size_t max_requests() const { return settings_.max_requests; }
   // Whether something held has not been released yet, at any instance.
   [[nodiscard]] bool releasing() const { return held_.releasing(); }
   [[nodiscard]] const Fleet& fleet() const { return fleet_; }
--- a/src/net/appliance/operator_page.cpp
+++ b/src/net/appliance/operator_page.cpp
@@ -70,7 +70,7 @@
   if (serving == 0) return {Standing::State::down, 0};
   if (drained_by_operator_ || shutting_down_) return {Standing::State::drain, 0};
   const double serving_fraction = double(serving) / double(appliance_.boxes.size());
-  const double free_fraction = 1.0 - double(conductor_.open_requests()) / double(conductor_.most_requests());
+  const double free_fraction = 1.0 - double(conductor_.open_requests()) / double(conductor_.max_requests());
   return {Standing::State::up, int(std::lround(100.0 * serving_fraction * free_fraction))};
 }
 
@@ -84,7 +84,7 @@
               {"uptime_s", double((scheduler_.now() - started_).count()) / 1e6},
               {"requests",
                {{"open", conductor_.open_requests()},
-                {"most", conductor_.most_requests()},
+                {"most", conductor_.max_requests()},
                 {"taken", counters.taken},
                 {"served", counters.served},
                 {"refused", counters.refused},
