--- a/src/core/conductor.cpp
+++ b/src/core/conductor.cpp
@@ -62,7 +62,7 @@
 void Conductor::update_fleet(const FleetUpdate& list_update) {
   const std::vector<EngineId> lost = fleet_.update(scheduler_.now(), list_update);
   for (const EngineId instance : lost) {
-    if (const Fleet::Member* member = fleet_.find(instance)) instances_.forget(member->target);
+    if (const Fleet::Member* member = fleet_.find(instance)) instances_.drop_connections(member->target);
     for (auto& [id, r] : requests_) {
       if (r->attempt && r->instance == instance) r->inbox.push(InstanceLost{});
     }
@@ -79,7 +79,7 @@
   for (const EngineId instance : fleet_.set_maintenance(scheduler_.now(), std::move(ids))) {
     event.entries.push_back(fleet_.module_entry(instance));
     // Connections from before its restart are no longer valid.
-    instances_.forget(fleet_.find(instance)->target);
+    instances_.drop_connections(fleet_.find(instance)->target);
   }
   if (!event.entries.empty()) post(std::move(event));
 }
--- a/src/core/ports.hpp
+++ b/src/core/ports.hpp
@@ -201,7 +201,7 @@
   virtual void probe(const Target& target, std::function<bool()> may_write,
                      std::function<void(const AttemptResult&)> done) = 0;
   // The process behind that name has ended or been replaced: drops its connections and what waits on them.
-  virtual void forget(const Target& target) = 0;
+  virtual void drop_connections(const Target& target) = 0;
 };
 
 // The source of the list of instances. Updates arrive at Conductor::update_fleet.
--- a/src/net/instances/instance_client.cpp
+++ b/src/net/instances/instance_client.cpp
@@ -403,6 +403,6 @@
        });
 }
 
-void InstanceClient::forget(const core::Target& target) { pool_.close_idle(target.address); }
+void InstanceClient::drop_connections(const core::Target& target) { pool_.close_idle(target.address); }
 
 }  // namespace bankmux::net
--- a/src/net/instances/instance_client.hpp
+++ b/src/net/instances/instance_client.hpp
@@ -33,7 +33,7 @@
                std::function<bool()> may_write, std::function<void(bool)> done) override;
   void probe(const core::Target& target, std::function<bool()> may_write,
              std::function<void(const core::AttemptResult&)> done) override;
-  void forget(const core::Target& target) override;
+  void drop_connections(const core::Target& target) override;
 
   [[nodiscard]] std::size_t connections() const { return pool_.open(); }
 
--- a/tests/core_rules_test.cpp
+++ b/tests/core_rules_test.cpp
@@ -117,7 +117,7 @@
       done(result);
     });
   }
-  void forget(const Target&) override {}
+  void drop_connections(const Target&) override {}
   void subscribe() override {}
   void fetch() override {}
 
--- a/tests/core_world.hpp
+++ b/tests/core_world.hpp
@@ -54,7 +54,7 @@
     releases.push_back(std::move(done));
   }
   void probe(const Target&, std::function<bool()>, std::function<void(const AttemptResult&)>) override {}
-  void forget(const Target&) override {}
+  void drop_connections(const Target&) override {}
   void subscribe() override {}
   void fetch() override {}
 
--- a/tests/handover_test.cpp
+++ b/tests/handover_test.cpp
@@ -187,7 +187,7 @@
                std::function<void(bool)>) override {}
   void probe(const core::Target&, std::function<bool()>,
              std::function<void(const core::AttemptResult&)>) override {}
-  void forget(const core::Target&) override {}
+  void drop_connections(const core::Target&) override {}
   void subscribe() override {}
   void fetch() override {}
 };
