--- a/src/core/ports.hpp
+++ b/src/core/ports.hpp
@@ -192,8 +192,8 @@
                                                        std::function<bool()> may_write,
                                                        AttemptEvents& events) = 0;
   // Asks a decode instance to reserve a place for the request.
-  virtual void claim(const Target& target, const PayloadPtr& payload, std::function<bool()> may_write,
-                     std::function<void(ClaimAnswer)> done) = 0;
+  virtual void reserve(const Target& target, const PayloadPtr& payload, std::function<bool()> may_write,
+                       std::function<void(ClaimAnswer)> done) = 0;
   // Releases everything held for the request there. done(true) is called only when the instance has answered
   // the call, since nothing else proves that the call has arrived.
   virtual void release(const Target& target, const PayloadPtr& payload, ConnectionTerms terms,
--- a/src/core/request_lifecycle.cpp
+++ b/src/core/request_lifecycle.cpp
@@ -371,7 +371,7 @@
   if (member == nullptr || !may_send(decode_instance)) return;
   held_.reservation_requested(r.id, r.client_request.payload, decode_instance);
   const int number = r.attempt_number();
-  instances_.claim(
+  instances_.reserve(
       member->target, r.client_request.payload, [this, decode_instance] { return may_send(decode_instance); },
       [this, id = r.id, module_id = r.module_id, number, decode_instance,
        payload = r.client_request.payload](ClaimAnswer answer) {
--- a/src/net/instances/instance_client.cpp
+++ b/src/net/instances/instance_client.cpp
@@ -369,8 +369,8 @@
   }
 }
 
-void InstanceClient::claim(const core::Target& target, const core::PayloadPtr& payload,
-                           std::function<bool()> may_write, std::function<void(core::ClaimAnswer)> done) {
+void InstanceClient::reserve(const core::Target& target, const core::PayloadPtr& payload,
+                             std::function<bool()> may_write, std::function<void(core::ClaimAnswer)> done) {
   call(target, call_request(target, "POST", "/bootstrap/rooms/" + payload->id), kHarmlessCall,
        std::move(may_write), [done = std::move(done)](const Call& call, bool whole) {
          const int status = whole ? call.response().status() : 0;
--- a/tests/core_rules_test.cpp
+++ b/tests/core_rules_test.cpp
@@ -95,8 +95,8 @@
         });
     return attempt;
   }
-  void claim(const Target&, const PayloadPtr&, std::function<bool()> may_write,
-             std::function<void(ClaimAnswer)> done) override {
+  void reserve(const Target&, const PayloadPtr&, std::function<bool()> may_write,
+               std::function<void(ClaimAnswer)> done) override {
     if (!may_write()) return;
     later(draw.time(1, 40), [this, done = std::move(done)] { done(ClaimAnswer(draw.pick(0, 2))); });
   }
--- a/tests/core_world.hpp
+++ b/tests/core_world.hpp
@@ -40,8 +40,8 @@
     CHECK(attempt == nullptr);  // never two attempts at once
     return std::make_unique<FakeAttempt>(*this, target.id, events, std::move(may_write), not_after);
   }
-  void claim(const Target& target, const PayloadPtr&, std::function<bool()> may_write,
-             std::function<void(ClaimAnswer)> done) override {
+  void reserve(const Target& target, const PayloadPtr&, std::function<bool()> may_write,
+               std::function<void(ClaimAnswer)> done) override {
     log.push_back("claim " + target.id);
     reservations.push_back(std::move(done));
     may_reserve = std::move(may_write);
--- a/tests/handover_test.cpp
+++ b/tests/handover_test.cpp
@@ -181,8 +181,8 @@
     current = stream.get();
     return stream;
   }
-  void claim(const core::Target&, const core::PayloadPtr&, std::function<bool()>,
-             std::function<void(core::ClaimAnswer)>) override {}
+  void reserve(const core::Target&, const core::PayloadPtr&, std::function<bool()>,
+               std::function<void(core::ClaimAnswer)>) override {}
   void release(const core::Target&, const core::PayloadPtr&, core::ConnectionTerms, std::function<bool()>,
                std::function<void(bool)>) override {}
   void probe(const core::Target&, std::function<bool()>,
