--- a/src/core/conductor.hpp
+++ b/src/core/conductor.hpp
@@ -150,7 +150,7 @@
   void reserve(Request& r, EngineId decode_instance);
   // Handles the answer to a reservation that was requested beside the prefill `attempt`.
   void reservation_answered(RequestId id, const PayloadPtr& payload, EngineId decode_instance, int attempt,
-                            RequestId module_id, ClaimAnswer answer);
+                            RequestId module_id, ReservationAnswer answer);
   [[nodiscard]] HeldCaches::AttemptState attempt_state(RequestId id) const;
   // What was held for the request has been released because the release time was up.
   void held_overdue(RequestId id, Duration held_for);
--- a/src/core/ports.hpp
+++ b/src/core/ports.hpp
@@ -179,7 +179,7 @@
 };
 
 // The answer to a request for a reservation; `unknown`: none that could be understood.
-enum class ClaimAnswer { held, not_held, unknown };
+enum class ReservationAnswer { held, not_held, unknown };
 
 // Sends requests, calls and probes to instances.
 class Instances {
@@ -193,7 +193,7 @@
                                                        AttemptEvents& events) = 0;
   // Asks a decode instance to reserve a place for the request.
   virtual void reserve(const Target& target, const PayloadPtr& payload, std::function<bool()> may_write,
-                       std::function<void(ClaimAnswer)> done) = 0;
+                       std::function<void(ReservationAnswer)> done) = 0;
   // Releases everything held for the request there. done(true) is called only when the instance has answered
   // the call, since nothing else proves that the call has arrived.
   virtual void release(const Target& target, const PayloadPtr& payload, ConnectionTerms terms,
--- a/src/core/request_lifecycle.cpp
+++ b/src/core/request_lifecycle.cpp
@@ -374,30 +374,30 @@
   instances_.reserve(
       member->target, r.client_request.payload, [this, decode_instance] { return may_send(decode_instance); },
       [this, id = r.id, module_id = r.module_id, number, decode_instance,
-       payload = r.client_request.payload](ClaimAnswer answer) {
+       payload = r.client_request.payload](ReservationAnswer answer) {
         reservation_answered(id, payload, decode_instance, number, module_id, answer);
       });
 }
 
 void Conductor::reservation_answered(RequestId id, const PayloadPtr& payload, EngineId decode_instance,
-                                     int attempt, RequestId module_id, ClaimAnswer answer) {
+                                     int attempt, RequestId module_id, ReservationAnswer answer) {
   const HeldCaches::Reservation worth = held_.reservation_answered(id, payload, decode_instance);
   const auto request = requests_.find(id);
-  if (answer != ClaimAnswer::unknown) fleet_.record_answer(decode_instance, scheduler_.now());
+  if (answer != ReservationAnswer::unknown) fleet_.record_answer(decode_instance, scheduler_.now());
   if (worth == HeldCaches::Reservation::not_on_record) {
     // Released while the call was out: the reservation may have been made after the release. Or the stream
     // has begun at another instance, which released everything held by then, but not a later reservation.
     const bool elsewhere = request == requests_.end() || request->second->instance != decode_instance;
-    if (answer != ClaimAnswer::not_held && elsewhere) held_.release_at(id, payload, decode_instance);
+    if (answer != ReservationAnswer::not_held && elsewhere) held_.release_at(id, payload, decode_instance);
     return;
   }
   if (worth == HeldCaches::Reservation::released) return;
-  if (answer == ClaimAnswer::unknown || request == requests_.end()) return;
+  if (answer == ReservationAnswer::unknown || request == requests_.end()) return;
   const Request& current = *request->second;
   if (current.module_id != module_id || current.attempt_number() != attempt || !current.attempt) return;
   // A reservation is answered while its prefill is in progress, so the prefill has arrived.
   held_.stop_clock(id);
-  post(eiderarch::PlaceAnswer{module_id, attempt, decode_instance, answer == ClaimAnswer::held});
+  post(eiderarch::PlaceAnswer{module_id, attempt, decode_instance, answer == ReservationAnswer::held});
 }
 
 HeldCaches::AttemptState Conductor::attempt_state(RequestId id) const {
--- a/src/net/instances/instance_client.cpp
+++ b/src/net/instances/instance_client.cpp
@@ -370,13 +370,14 @@
 }
 
 void InstanceClient::reserve(const core::Target& target, const core::PayloadPtr& payload,
-                             std::function<bool()> may_write, std::function<void(core::ClaimAnswer)> done) {
+                             std::function<bool()> may_write,
+                             std::function<void(core::ReservationAnswer)> done) {
   call(target, call_request(target, "POST", "/bootstrap/rooms/" + payload->id), kHarmlessCall,
        std::move(may_write), [done = std::move(done)](const Call& call, bool whole) {
          const int status = whole ? call.response().status() : 0;
-         done(status == 200   ? core::ClaimAnswer::held
-              : status == 409 ? core::ClaimAnswer::not_held
-                              : core::ClaimAnswer::unknown);
+         done(status == 200   ? core::ReservationAnswer::held
+              : status == 409 ? core::ReservationAnswer::not_held
+                              : core::ReservationAnswer::unknown);
        });
 }
 
--- a/src/net/instances/instance_client.hpp
+++ b/src/net/instances/instance_client.hpp
@@ -28,7 +28,7 @@
   std::unique_ptr<core::Attempt> take_over(const std::string& address, const core::HandoverState& passed,
                                            core::AttemptEvents& events);
   void reserve(const core::Target& target, const core::PayloadPtr& payload, std::function<bool()> may_write,
-               std::function<void(core::ClaimAnswer)> done) override;
+               std::function<void(core::ReservationAnswer)> done) override;
   void release(const core::Target& target, const core::PayloadPtr& payload, core::ConnectionTerms terms,
                std::function<bool()> may_write, std::function<void(bool)> done) override;
   void probe(const core::Target& target, std::function<bool()> may_write,
--- a/tests/core_rules_test.cpp
+++ b/tests/core_rules_test.cpp
@@ -96,9 +96,9 @@
     return attempt;
   }
   void reserve(const Target&, const PayloadPtr&, std::function<bool()> may_write,
-               std::function<void(ClaimAnswer)> done) override {
+               std::function<void(ReservationAnswer)> done) override {
     if (!may_write()) return;
-    later(draw.time(1, 40), [this, done = std::move(done)] { done(ClaimAnswer(draw.pick(0, 2))); });
+    later(draw.time(1, 40), [this, done = std::move(done)] { done(ReservationAnswer(draw.pick(0, 2))); });
   }
   void release(const Target& target, const PayloadPtr& payload, ConnectionTerms,
                std::function<bool()> may_write, std::function<void(bool)> done) override {
--- a/tests/core_test.cpp
+++ b/tests/core_test.cpp
@@ -224,13 +224,13 @@
   w.instances.finish_write();
   REQUIRE(w.instances.reservations.size() == 1);
   SECTION("no answer, or one that does not know the prefill") {
-    if (GENERATE(false, true)) w.instances.reservations.at(0)(ClaimAnswer::unknown);
+    if (GENERATE(false, true)) w.instances.reservations.at(0)(ReservationAnswer::unknown);
     w.time.pass(200ms);
     CHECK(std::ranges::count(w.instances.log, "release w") == 1);
     CHECK(std::ranges::count(w.instances.log, "release r") == 0);  // nothing is held there yet
   }
   SECTION("the answer to a reservation proves that the prefill is in progress") {
-    w.instances.reservations.at(0)(ClaimAnswer::held);
+    w.instances.reservations.at(0)(ReservationAnswer::held);
     w.time.pass(400ms);
     CHECK(w.instances.releases.empty());
   }
@@ -384,7 +384,7 @@
   w.send_request(1, kLongPrompt);
   CHECK(w.instances.log == EventLog{"open r"});  // no reservation before the prefill has been written
   w.instances.finish_write();
-  w.instances.reservations.at(0)(ClaimAnswer::held);
+  w.instances.reservations.at(0)(ReservationAnswer::held);
   w.instances.end_attempt(Verdict::state_held);
   w.time.settle();
   w.instances.attempt->events.on_data("x");
@@ -404,7 +404,7 @@
   w.time.settle();
   for (const auto& done : std::exchange(w.instances.releases, {})) done(true);
   CHECK(w.instances.log == EventLog{"open r", "claim w", "close r", "release r", "release w"});
-  w.instances.reservations.at(0)(ClaimAnswer::held);
+  w.instances.reservations.at(0)(ReservationAnswer::held);
   CHECK(w.instances.log.back() == "release w");
   CHECK(w.instances.log.size() == 6);
   CHECK(w.answers.empty());
@@ -553,7 +553,7 @@
   w.instances.attempt->events.on_data("a");
   w.time.settle();
   const auto before = std::ranges::count(w.instances.log, "release " + first);
-  w.instances.reservations.at(0)(ClaimAnswer::unknown);
+  w.instances.reservations.at(0)(ReservationAnswer::unknown);
   CHECK(std::ranges::count(w.instances.log, "release " + first) == before + 1);
 }
 
--- a/tests/core_world.hpp
+++ b/tests/core_world.hpp
@@ -41,7 +41,7 @@
     return std::make_unique<FakeAttempt>(*this, target.id, events, std::move(may_write), not_after);
   }
   void reserve(const Target& target, const PayloadPtr&, std::function<bool()> may_write,
-               std::function<void(ClaimAnswer)> done) override {
+               std::function<void(ReservationAnswer)> done) override {
     log.push_back("claim " + target.id);
     reservations.push_back(std::move(done));
     may_reserve = std::move(may_write);
@@ -74,7 +74,7 @@
 
   EventLog log;
   FakeAttempt* attempt = nullptr;
-  std::vector<std::function<void(ClaimAnswer)>> reservations;
+  std::vector<std::function<void(ReservationAnswer)>> reservations;
   std::function<bool()> may_reserve;
   std::vector<std::function<bool()>> may_release;  // in the order of the calls, as are `releases`
   std::vector<std::function<void(bool)>> releases;
--- a/tests/handover_test.cpp
+++ b/tests/handover_test.cpp
@@ -182,7 +182,7 @@
     return stream;
   }
   void reserve(const core::Target&, const core::PayloadPtr&, std::function<bool()>,
-               std::function<void(core::ClaimAnswer)>) override {}
+               std::function<void(core::ReservationAnswer)>) override {}
   void release(const core::Target&, const core::PayloadPtr&, core::ConnectionTerms, std::function<bool()>,
                std::function<void(bool)>) override {}
   void probe(const core::Target&, std::function<bool()>,
