--- a/src/core/ports.hpp
+++ b/src/core/ports.hpp
@@ -173,7 +173,7 @@
 struct ConnectionTerms {
   // The faults of a pooled connection are harmless to this exchange: a reset under the request, which may
   // then be sent again, and a late answer to the previous exchange, which would prove nothing about this one.
-  bool trouble_harmless = false;
+  bool failure_harmless = false;
   // Requires a new connection, because every idle one may have stopped delivering data without a reset.
   bool fresh = false;
 };
--- a/src/net/instances/instance_client.cpp
+++ b/src/net/instances/instance_client.cpp
@@ -22,7 +22,7 @@
 // For calls without a body. Instances answer a call about an unknown prefill after 0.3 s.
 constexpr Duration kCallTimeout = 1s;
 // Calls without a body have no effect that a lost connection or a late answer could duplicate.
-constexpr core::ConnectionTerms kHarmlessCall{.trouble_harmless = true};
+constexpr core::ConnectionTerms kHarmlessCall{.failure_harmless = true};
 constexpr std::size_t kMaxBodyBytes = 1024 * 1024;           // of a response that is not a stream
 constexpr std::size_t kMaxChatBodyBytes = 16 * 1024 * 1024;  // of a non-streamed chat answer
 // Images and log probabilities arrive in a single event.
--- a/src/net/instances/instance_pool.cpp
+++ b/src/net/instances/instance_pool.cpp
@@ -59,8 +59,8 @@
       body_(std::move(body)),
       events_(events) {
   is_attempt_ = body_ != nullptr;
-  if (!terms.fresh && pool_.may_reuse(terms.trouble_harmless)) {
-    connection_ = pool_.take_idle(address_, terms.trouble_harmless);
+  if (!terms.fresh && pool_.may_reuse(terms.failure_harmless)) {
+    connection_ = pool_.take_idle(address_, terms.failure_harmless);
   }
   reused_ = connection_ != nullptr;
   if (!reused_) connection_ = pool_.connect(address_);
@@ -257,10 +257,10 @@
 // and that request may have been executed. After such failures, requests that must not run twice use new
 // connections; after many, all requests do, until the counts have decayed. New connections cost the instances
 // work and are avoided otherwise.
-bool InstancePool::may_reuse(bool trouble_harmless) const {
+bool InstancePool::may_reuse(bool failure_harmless) const {
   const double decay = std::exp(-double((loop_.now() - reuse_updated_).count()) / kReuseDecayUs);
   const double failures = reuse_failures_ * decay;
-  return trouble_harmless
+  return failure_harmless
              ? failures <= kMaxFailureShare * (reuse_successes_ * decay + failures + kInitialSuccesses)
              : failures < kMaxRecentFailures;
 }
@@ -272,13 +272,13 @@
   reuse_updated_ = loop_.now();
 }
 
-BufferEventPtr InstancePool::take_idle(const std::string& address, bool trouble_harmless) {
+BufferEventPtr InstancePool::take_idle(const std::string& address, bool failure_harmless) {
   const auto it = idle_.find(address);
   if (it == idle_.end()) return nullptr;
   std::list<Idle>& list = it->second;
   const core::Time now = loop_.now();
   for (auto idle = list.begin(); idle != list.end();) {
-    const bool quarantined = idle->answered_stream || !trouble_harmless;
+    const bool quarantined = idle->answered_stream || !failure_harmless;
     if (quarantined && now < idle->answered + kQuarantine) {
       ++idle;
       continue;
--- a/src/net/instances/instance_pool.hpp
+++ b/src/net/instances/instance_pool.hpp
@@ -109,11 +109,11 @@
     bool answered_stream = false;  // whether that response was the 200 of an attempt
   };
 
-  // Whether reused connections have been reliable enough lately. `trouble_harmless`: the request may run
+  // Whether reused connections have been reliable enough lately. `failure_harmless`: the request may run
   // twice.
-  [[nodiscard]] bool may_reuse(bool trouble_harmless) const;
+  [[nodiscard]] bool may_reuse(bool failure_harmless) const;
   void record_reuse(bool success);
-  BufferEventPtr take_idle(const std::string& address, bool trouble_harmless);
+  BufferEventPtr take_idle(const std::string& address, bool failure_harmless);
   BufferEventPtr connect(const std::string& address);
   void add_idle(const std::string& address, BufferEventPtr connection, bool answered_stream);
   static void on_idle_event(Idle* idle);
