--- a/src/core/ports.hpp
+++ b/src/core/ports.hpp
@@ -175,7 +175,7 @@
   // then be sent again, and a late answer to the previous exchange, which would prove nothing about this one.
   bool failure_harmless = false;
   // Requires a new connection, because every idle one may have stopped delivering data without a reset.
-  bool fresh = false;
+  bool new_connection = false;
 };
 
 // The answer to a request for a reservation; `unknown`: none that could be understood.
--- a/src/core/release_delivery.cpp
+++ b/src/core/release_delivery.cpp
@@ -117,7 +117,7 @@
   // creates.
   const auto may_write = [this, number] { return releases_.contains(number); };
   instances_.release(holder->target, release.order.payload,
-                     {.failure_harmless = true, .fresh = new_connection}, may_write,
+                     {.failure_harmless = true, .new_connection = new_connection}, may_write,
                      [this, number](bool arrived) { holder_answered(number, arrived); });
 }
 
@@ -220,7 +220,7 @@
       it->second.others_called.erase(instance);
     return it->second.others_called.contains(instance);
   };
-  instances_.release(other.target, release.order.payload, {.failure_harmless = true, .fresh = true},
+  instances_.release(other.target, release.order.payload, {.failure_harmless = true, .new_connection = true},
                      may_write, [this, number, instance](bool arrived) {
                        if (arrived) fleet_.record_answer(instance, scheduler_.now());
                        const auto it = releases_.find(number);
--- a/src/net/instances/instance_pool.cpp
+++ b/src/net/instances/instance_pool.cpp
@@ -59,7 +59,7 @@
       body_(std::move(body)),
       events_(events) {
   is_attempt_ = body_ != nullptr;
-  if (!terms.fresh && pool_.may_reuse(terms.failure_harmless)) {
+  if (!terms.new_connection && pool_.may_reuse(terms.failure_harmless)) {
     connection_ = pool_.take_idle(address_, terms.failure_harmless);
   }
   reused_ = connection_ != nullptr;
--- a/tests/core_world.hpp
+++ b/tests/core_world.hpp
@@ -49,7 +49,7 @@
   void release(const Target& target, const PayloadPtr&, ConnectionTerms terms,
                std::function<bool()> may_write, std::function<void(bool)> done) override {
     log.push_back("release " + target.id);
-    fresh.push_back(terms.fresh);
+    fresh.push_back(terms.new_connection);
     may_release.push_back(std::move(may_write));
     releases.push_back(std::move(done));
   }
