--- a/src/core/conductor.hpp
+++ b/src/core/conductor.hpp
@@ -94,7 +94,7 @@
   [[nodiscard]] bool releasing() const { return held_.releasing(); }
   [[nodiscard]] const Fleet& fleet() const { return fleet_; }
   [[nodiscard]] const RequestCounters& figures() const { return figures_; }
-  [[nodiscard]] const ReleaseFigures& release_figures() const { return held_.release_figures(); }
+  [[nodiscard]] const ReleaseCounters& release_figures() const { return held_.release_figures(); }
   // Number of this conductor's current attempts at an instance.
   [[nodiscard]] std::size_t active_attempts_at(EngineId instance) const;
 
--- a/src/core/held_caches.hpp
+++ b/src/core/held_caches.hpp
@@ -73,7 +73,7 @@
   bool withdraw_releases(RequestId id, const PayloadPtr& payload, EngineId instance);
   // Whether some release has not arrived yet, at any instance.
   [[nodiscard]] bool releasing() const { return delivery_.pending(); }
-  [[nodiscard]] const ReleaseFigures& release_figures() const { return delivery_.figures(); }
+  [[nodiscard]] const ReleaseCounters& release_figures() const { return delivery_.figures(); }
 
   // The state of a reservation whose answer has arrived:
   enum class Reservation {
--- a/src/core/release_delivery.hpp
+++ b/src/core/release_delivery.hpp
@@ -19,7 +19,7 @@
 namespace bankmux::core {
 
 // Counters since the process started.
-struct ReleaseFigures {
+struct ReleaseCounters {
   std::uint64_t begun = 0;
   std::uint64_t answered = 0;         // by the instance that may have held something
   std::uint64_t answered_by_any = 0;  // first by another instance
@@ -61,7 +61,7 @@
   // arrived, unless its instance's connections have not been delivering data, so that the instance probably
   // did not receive the end of its attempt.
   [[nodiscard]] bool pending() const;
-  [[nodiscard]] const ReleaseFigures& figures() const { return figures_; }
+  [[nodiscard]] const ReleaseCounters& figures() const { return figures_; }
 
  private:
   struct Release {
@@ -108,7 +108,7 @@
   std::map<Number, Release> releases_;
   std::map<Number, Repeat> repeats_;
   Number last_number_ = 0;
-  ReleaseFigures figures_;
+  ReleaseCounters figures_;
 };
 
 }  // namespace bankmux::core
--- a/src/net/platform/management_page.cpp
+++ b/src/net/platform/management_page.cpp
@@ -28,7 +28,7 @@
   add(text, "open_requests", conductor_.open_requests());
   add(text, "registry_entries", conductor_.listed());
   add(text, "out_of_rotation", conductor_.out_of_rotation());
-  const core::ReleaseFigures& releases = conductor_.release_figures();
+  const core::ReleaseCounters& releases = conductor_.release_figures();
   add(text, "held_overdue", figures.held_overdue);
   add(text, "releases.begun", releases.begun);
   add(text, "releases.answered", releases.answered);
