--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -163,7 +163,7 @@
   std::set<eiderarch::EngineId> listed_engines;
   for (const json& row : *servers) {
     if (!row.is_object()) throw wire::MalformedInput("field 'servers' holds something that is not an object");
-    core::Listed listed;
+    core::ListEntry listed;
     listed.entry = wire::decode_entry(row, kDiscoveryEntry, zones, kinds);
     // Without this, decode_entry's default is the first of several kinds, and a decode instance could be
     // taken for a prefill instance, whose attempts count as having no effect.
--- a/src/core/conductor.cpp
+++ b/src/core/conductor.cpp
@@ -69,7 +69,7 @@
   }
   if (list_update.scope == eiderarch::ListScope::changes && list_update.entries.empty()) return;
   eiderarch::ListChanged event{list_update.scope, {}};
-  for (const Listed& row : list_update.entries)
+  for (const ListEntry& row : list_update.entries)
     event.entries.push_back(fleet_.module_entry(row.entry.engine));
   post(std::move(event));
 }
--- a/src/core/fleet.cpp
+++ b/src/core/fleet.cpp
@@ -21,7 +21,7 @@
   if (list_update.scope == ListScope::failed) return lost;
   if (list_update.scope != ListScope::changes) {
     std::set<EngineId> listed_ids;  // one pass over long lists, instead of one for each pair
-    for (const Listed& row : list_update.entries) listed_ids.insert(row.entry.engine);
+    for (const ListEntry& row : list_update.entries) listed_ids.insert(row.entry.engine);
     for (auto& [id, member] : members_) {
       if (listed_ids.contains(id) || member.entry.state == EngineState::gone) continue;
       member.entry.state = EngineState::gone;
@@ -29,7 +29,7 @@
       lost.push_back(id);
     }
   }
-  for (const Listed& row : list_update.entries) {
+  for (const ListEntry& row : list_update.entries) {
     const auto [it, is_new] = members_.try_emplace(row.entry.engine);
     Member& member = it->second;
     const bool gone = row.entry.state == EngineState::gone;
--- a/src/core/ports.hpp
+++ b/src/core/ports.hpp
@@ -214,7 +214,7 @@
 
 // One entry of the discovery list: the module's part, and the name and address, which the module does not
 // need.
-struct Listed {
+struct ListEntry {
   eiderarch::EngineEntry entry;
   std::string id;
   std::string address;
@@ -223,7 +223,7 @@
 // An update of the discovery list.
 struct FleetUpdate {
   eiderarch::ListScope scope = eiderarch::ListScope::changes;
-  std::vector<Listed> entries;
+  std::vector<ListEntry> entries;
 };
 
 }  // namespace bankmux::core
--- a/src/net/appliance/box_watch.hpp
+++ b/src/net/appliance/box_watch.hpp
@@ -49,7 +49,7 @@
 
  private:
   struct Instance {
-    core::Listed listed;
+    core::ListEntry listed;
     bool runs = true;
     bool drained = false;
     int failures = 0;
--- a/tests/core_rules_test.cpp
+++ b/tests/core_rules_test.cpp
@@ -188,8 +188,8 @@
   };
 
   [[nodiscard]] bool is_prefill(EngineId instance) const { return instance <= 3; }
-  [[nodiscard]] Listed list_entry(int i, eiderarch::EngineState state) const {
-    Listed listed;
+  [[nodiscard]] ListEntry list_entry(int i, eiderarch::EngineState state) const {
+    ListEntry listed;
     listed.id = listed.address = "box" + std::to_string(i);
     listed.entry.engine = EngineId(i + 1);
     listed.entry.kind = i < 3 ? 0 : i < 6 || s.kinds.size() < 3 ? 1 : 2;
@@ -242,7 +242,7 @@
   void list_change() {
     const int i = draw.pick(0, kInstances - 1);
     const auto state = eiderarch::EngineState(draw.pick(0, 2));
-    Listed changed = list_entry(i, state);
+    ListEntry changed = list_entry(i, state);
     const bool restarted = state == eiderarch::EngineState::live && draw.chance(0.4);
     if (restarted) changed.entry.started = time.now();
     if (restarted || state == eiderarch::EngineState::gone) {
--- a/tests/core_test.cpp
+++ b/tests/core_test.cpp
@@ -303,7 +303,7 @@
   FakeTime time;
   FakeInstances instances;
   Fleet fleet;
-  Listed row;
+  ListEntry row;
   row.id = row.address = "r";
   row.entry.engine = 9;
   (void)fleet.update(time.now(), {eiderarch::ListScope::changes, {row}});
@@ -425,7 +425,7 @@
   CHECK(w.instances.log.back() == "release r");
   const std::size_t before = w.instances.log.size();
   w.list_instance("r", 0, eiderarch::EngineState::gone);
-  Listed fresh;
+  ListEntry fresh;
   fresh.id = fresh.address = "r";
   fresh.entry.engine = std::hash<std::string>{}("r");
   fresh.entry.started = w.time.now();
@@ -584,7 +584,7 @@
     "Fleet: a start in the future counts from when it was received and only a different start is a restart") {
   Fleet fleet;
   const Time now{5'000'000'000};
-  Listed row;
+  ListEntry row;
   row.id = row.address = "w";
   row.entry.engine = 9;
   // A wrong clock, which would keep the instance in slow start for an hour longer.
@@ -606,13 +606,13 @@
     "Fleet: an observed start is no older than the update before it whatever step the wall clock makes") {
   const Time now{50'000'000'000};
   const auto listed = [](EngineId engine, Time started) {
-    Listed row;
+    ListEntry row;
     row.id = row.address = std::to_string(engine);
     row.entry.engine = engine;
     row.entry.started = started;
     return row;
   };
-  const auto changed = [&](Fleet& fleet, Time at, std::vector<Listed> rows) {
+  const auto changed = [&](Fleet& fleet, Time at, std::vector<ListEntry> rows) {
     (void)fleet.update(at, {eiderarch::ListScope::changes, std::move(rows)});
   };
   for (const Duration step : {Duration{-1h}, Duration{-8s}, Duration{8s}, Duration{1h}}) {
--- a/tests/core_world.hpp
+++ b/tests/core_world.hpp
@@ -143,7 +143,7 @@
   }
   void list_instance(const std::string& id, std::uint32_t kind,
                      eiderarch::EngineState state = eiderarch::EngineState::live) {
-    Listed row;
+    ListEntry row;
     row.id = row.address = id;
     row.entry.engine = std::hash<std::string>{}(id);
     row.entry.kind = kind;
--- a/tests/handover_test.cpp
+++ b/tests/handover_test.cpp
@@ -210,7 +210,7 @@
     conductor = std::make_unique<core::Conductor>(s, time, instances, instances,
                                                   [](const char*, const std::string&) {});
     conductor->observe([this](const core::RequestRecord& record) { results.push_back(record.result); });
-    core::Listed listed;
+    core::ListEntry listed;
     listed.id = "box";
     listed.entry.engine = 5;
     conductor->update_fleet({eiderarch::ListScope::changes, {listed}});
--- a/tests/operations_test.cpp
+++ b/tests/operations_test.cpp
@@ -15,9 +15,9 @@
 
 namespace {
 
-core::Listed listed(const std::string& id, core::EngineId engine,
-                    eiderarch::EngineState state = eiderarch::EngineState::live) {
-  core::Listed row;
+core::ListEntry listed(const std::string& id, core::EngineId engine,
+                       eiderarch::EngineState state = eiderarch::EngineState::live) {
+  core::ListEntry row;
   row.id = id;
   row.entry.engine = engine;
   row.entry.state = state;
--- a/tests/repeat_test.cpp
+++ b/tests/repeat_test.cpp
@@ -219,7 +219,7 @@
   CoreFixture w;
   w.list_instance("w", kMixed);
   w.list_instance("v", kMixed);
-  Listed row;
+  ListEntry row;
   row.id = row.address = "w";
   row.entry.engine = std::hash<std::string>{}("w");
   row.entry.kind = eiderarch::kKindNotNamed;
--- a/tests/rule_checker.hpp
+++ b/tests/rule_checker.hpp
@@ -61,7 +61,7 @@
     Time aim{0};
     bool idle_fault_reported = false;
   };
-  struct Listed {
+  struct ListEntry {
     EngineEntry entry;
     std::optional<Time> unavailable_since;
   };
@@ -108,7 +108,7 @@
       }
     }
     for (const EngineEntry& entry : e.entries) {
-      Listed& listed = list_[entry.engine];
+      ListEntry& listed = list_[entry.engine];
       listed.entry = entry;
       if (entry.state == EngineState::live) {
         listed.unavailable_since.reset();
@@ -243,7 +243,7 @@
   Settings s_;
   Time now_{0};
   std::map<RequestId, RequestState> requests_;
-  std::map<EngineId, Listed> list_;
+  std::map<EngineId, ListEntry> list_;
   std::vector<std::string> faults_;
 };
 
