--- a/src/app/request_log.cpp
+++ b/src/app/request_log.cpp
@@ -82,7 +82,7 @@
 nlohmann::json attempts_json(const std::vector<core::AttemptRecord>& attempts) {
   nlohmann::json list = nlohmann::json::array();
   for (const core::AttemptRecord& attempt : attempts) {
-    list.push_back({{"box", attempt.server},
+    list.push_back({{"box", attempt.instance},
                     {"prefill", attempt.prefill},
                     {"begun_ms", milliseconds(attempt.begun)},
                     {"written_ms", milliseconds(attempt.written)},
@@ -110,7 +110,7 @@
           {"request_id", record.client_request.payload->id},
           {"tenant", tenant.empty() ? nlohmann::json(arrival.tenant) : nlohmann::json(tenant)},
           {"class", known_class ? classes[arrival.request_class] : "?"},
-          {"box", record.box},
+          {"box", record.instance},
           {"attempts", record.attempts},
           {"may_have_run", record.ending.may_have_run},
           {"prompt_tokens", arrival.prompt_tokens},
--- a/src/app/succession.cpp
+++ b/src/app/succession.cpp
@@ -38,7 +38,7 @@
   // instance is no longer listed.
   std::string address;
   for (const auto& [engine, member] : conductor_.fleet().members()) {
-    if (member.target.id == passed.stream.box) address = member.target.address;
+    if (member.target.id == passed.stream.instance_id) address = member.target.address;
   }
   const core::HandoverState instance = passed.stream.instance;
   front_.take_over(passed.name, std::move(passed.stream), clients_, [&](core::AttemptEvents& events) {
--- a/src/core/conductor.hpp
+++ b/src/core/conductor.hpp
@@ -36,7 +36,7 @@
 // A running stream, as one process of this conductor describes it to its successor.
 struct RunningStream {
   ClientRequest client_request;  // its facts, and of its payload only the id
-  std::string box;
+  std::string instance_id;
   int attempts = 1;
   Duration age{0};    // since the request was accepted
   Duration first{0};  // from then until its first event
--- a/src/core/request_record.hpp
+++ b/src/core/request_record.hpp
@@ -18,7 +18,7 @@
 
 // One attempt of a request, part of its record. Times count from the request's arrival.
 struct AttemptRecord {
-  std::string server;
+  std::string instance;
   bool prefill = false;
   Duration begun{0};
   Duration written{-1};  // when its last byte was written; -1: it was not
@@ -33,8 +33,8 @@
   enum class Result { served, refused, failed, broken, rejected, gone, passed_on };
   const ClientRequest& client_request;
   Result result = Result::failed;
-  Ending ending;    // set unless it was served, rejected or abandoned by its client
-  std::string box;  // the instance of the last attempt; empty: there was none
+  Ending ending;         // set unless it was served, rejected or abandoned by its client
+  std::string instance;  // the instance of the last attempt; empty: there was none
   int attempts = 0;
   Duration first{-1};  // from arrival to the first event; -1: there was none
   Duration total{0};
--- a/src/core/shutdown.cpp
+++ b/src/core/shutdown.cpp
@@ -57,7 +57,7 @@
   r.execution.assume_executed();
   r.attempts = stream.attempts;
   for (const auto& [instance, member] : fleet_.members()) {
-    if (member.target.id == stream.box) r.instance = instance;
+    if (member.target.id == stream.instance_id) r.instance = instance;
   }
   r.attempt = make(r);
   const RequestId id = r.id;
--- a/src/operations/passed_stream.cpp
+++ b/src/operations/passed_stream.cpp
@@ -71,7 +71,7 @@
                  {"class", facts.request_class},
                  {"tenant", facts.tenant},
                  {"prompt", facts.prompt_tokens},
-                 {"box", stream.box},
+                 {"box", stream.instance_id},
                  {"attempts", stream.attempts},
                  {"age", stream.age.count()},
                  {"first", stream.first.count()},
@@ -98,7 +98,7 @@
     stream.client_request.facts.request_class = std::uint32_t(reader.integer("class", 0, kMaxIndex));
     stream.client_request.facts.tenant = std::uint32_t(reader.integer("tenant", 0, kMaxIndex));
     stream.client_request.facts.prompt_tokens = reader.integer("prompt", 0, kMaxTokens);
-    stream.box = reader.text("box", kMaxInstanceIdBytes);
+    stream.instance_id = reader.text("box", kMaxInstanceIdBytes);
     stream.attempts = int(reader.integer("attempts", 1, kMaxAttempts));
     stream.age = core::Duration(reader.integer("age", 0, kMaxTimeUs));
     stream.first = core::Duration(reader.integer("first", 0, stream.age.count()));
--- a/tests/handover_test.cpp
+++ b/tests/handover_test.cpp
@@ -24,7 +24,7 @@
   stream.client_request.facts.request_class = *rc::gen::inRange<std::uint32_t>(0, 50);
   stream.client_request.facts.tenant = *rc::gen::inRange<std::uint32_t>(0, 50);
   stream.client_request.facts.prompt_tokens = *rc::gen::inRange(0, 1'000'000);
-  stream.box = *rc::gen::nonEmpty(rc::gen::container<std::string>(rc::gen::inRange('a', 'z')));
+  stream.instance_id = *rc::gen::nonEmpty(rc::gen::container<std::string>(rc::gen::inRange('a', 'z')));
   stream.attempts = *rc::gen::inRange(1, 9);
   stream.first = core::Duration(*rc::gen::inRange(0, 9'000'000));
   stream.age = stream.first + core::Duration(*rc::gen::inRange(0, 9'000'000));
@@ -42,7 +42,7 @@
     const auto back = operations::decode_stream(message);
     RC_ASSERT(back.has_value());
     RC_ASSERT(back->name == "r-1");
-    RC_ASSERT(back->stream.box == stream.box);
+    RC_ASSERT(back->stream.instance_id == stream.instance_id);
     RC_ASSERT(back->stream.client_request.facts.request_class == stream.client_request.facts.request_class);
     RC_ASSERT(back->stream.client_request.facts.tenant == stream.client_request.facts.tenant);
     RC_ASSERT(back->stream.client_request.facts.prompt_tokens == stream.client_request.facts.prompt_tokens);
@@ -65,7 +65,7 @@
     }
   }));
   core::RunningStream large = {};
-  large.box = "b";
+  large.instance_id = "b";
   large.client.state.assign(operations::kMostMessage, 'x');
   CHECK(operations::encode("r-1", large).empty());
 }
@@ -269,7 +269,7 @@
   CHECK(first.conductor->open_requests() == 0);
   CHECK(first.results == std::vector{core::RequestRecord::Result::passed_on});
   CHECK(first.conductor->figures().by_class[0].served == 0);
-  CHECK(passed.box == "box");
+  CHECK(passed.instance_id == "box");
   CHECK(passed.age == 2s);
   CHECK(passed.client.state == "client");
   CHECK(passed.instance.descriptor == 7);
