--- a/tests/core_rules_test.cpp
+++ b/tests/core_rules_test.cpp
@@ -124,7 +124,7 @@
   void run(Duration length) {
     const Time end = time.now() + length;
     while (time.now() < end) {
-      time.pass(draw.time(1, 60));
+      time.advance(draw.time(1, 60));
       if (draw.chance(0.6)) send_request();
       if (draw.chance(0.03)) list_change();
       if (draw.chance(0.02)) client_leaves();
@@ -132,7 +132,7 @@
         vanished_[EngineId(draw.pick(1, kInstances))] = time.now() + draw.time(500, 4000);
       check_held();
     }
-    time.pass(40s);  // past every deadline and stall limit
+    time.advance(40s);  // past every deadline and stall limit
     check_held();
     for (const auto& [name, request] : requests) {
       if (request.answers != 1 && !clients_gone.contains(name))
--- a/tests/core_test.cpp
+++ b/tests/core_test.cpp
@@ -9,7 +9,7 @@
   w.list_instance("w", 2);
   w.send_request(1, 100, 1s);
   w.instances.finish_write();
-  w.time.pass(3s, true);
+  w.time.advance(3s, true);
   CHECK(w.answers == EventLog{"failed"});
   CHECK(w.instances.log == EventLog{"open w", "close w"});
   CHECK(w.conductor->open_requests() == 0);
@@ -19,7 +19,7 @@
   CoreFixture w;
   w.list_instance("w", 2);
   w.send_request(1, 100, 1s);
-  w.time.pass(1100ms);
+  w.time.advance(1100ms);
   CHECK(w.answers == EventLog{"refused"});
 }
 
@@ -30,7 +30,7 @@
   REQUIRE(w.instances.attempt != nullptr);
   w.list_instance("w", 2, eiderarch::EngineState::draining);
   CHECK(w.instances.attempt->may_write());
-  w.time.pass(950ms);
+  w.time.advance(950ms);
   CHECK_FALSE(w.instances.attempt->may_write());
 }
 
@@ -42,7 +42,7 @@
   w.send_request(0, 100);
   w.list_instance("w", 2, eiderarch::EngineState::draining);
   CHECK(w.instances.attempt->may_write());
-  w.time.pass(350ms);
+  w.time.advance(350ms);
   CHECK_FALSE(w.instances.attempt->may_write());
 }
 
@@ -64,7 +64,7 @@
   CHECK(w.instances.attempt->not_after == w.time.now() + 1s);
   const auto may_write = w.instances.attempt->may_write;
   CHECK(may_write());
-  w.time.hold_up(1s);
+  w.time.delay_loop(1s);
   CHECK_FALSE(may_write());
 }
 
@@ -75,16 +75,16 @@
   w.send_request(2, 100);
   w.instances.finish_write();
   w.instances.end_attempt(Verdict::broken, Progress::written);
-  w.time.settle();
+  w.time.run_ready();
   REQUIRE(w.instances.attempt != nullptr);
   CHECK(w.instances.attempt->may_write());
   const auto late = w.instances.attempt->may_write;
   w.instances.attempt->current_progress =
       Progress::unwritten;  // the connection has accepted a part of the request
-  w.time.pass(510ms);
+  w.time.advance(510ms);
   CHECK_FALSE(late());
   CHECK(w.instances.log == EventLog{"open a", "close a", "open b", "close b"});
-  w.time.pass(1s);
+  w.time.advance(1s);
   CHECK(w.answers == EventLog{"refused"});  // a keyed class of group `all`, for which a retry is harmless
 }
 
@@ -98,15 +98,15 @@
   w.instances.finish_write();
   REQUIRE(w.instances.reservations.empty());  // a reservation would be released in any case
   w.instances.end_attempt(Verdict::state_held);
-  w.time.settle();
+  w.time.run_ready();
   w.instances.finish_write();
-  w.time.pass(210ms);  // the release time is up, and nothing shows whether the attempt has arrived
+  w.time.advance(210ms);  // the release time is up, and nothing shows whether the attempt has arrived
   REQUIRE(std::ranges::count(w.instances.log, "release r") == 1);
   w.instances.releases.at(0)(true);
-  w.time.pass(2780ms);
+  w.time.advance(2780ms);
   REQUIRE(std::ranges::count(w.instances.log, "release r") == 1);
   REQUIRE(std::ranges::count(w.instances.log, "release w") == 0);
-  w.time.pass(30ms);
+  w.time.advance(30ms);
   CHECK(w.answers == EventLog{"failed"});
   CHECK(std::ranges::count(w.instances.log, "release r") == 2);
   CHECK(std::ranges::count(w.instances.log, "release w") == 1);
@@ -129,16 +129,16 @@
   w.send_request(request_class, 3000);
   w.instances.finish_write();
   w.instances.end_attempt(Verdict::state_held);
-  w.time.settle();
+  w.time.run_ready();
   REQUIRE(w.instances.attempt != nullptr);
   w.instances.finish_write();
 }
 
 // Checks that the release is sent exactly after that time.
 void check_released_after(CoreFixture& w, Duration time) {
-  w.time.pass(time - 1ms);
+  w.time.advance(time - 1ms);
   CHECK(w.instances.releases.empty());
-  w.time.pass(1ms);
+  w.time.advance(1ms);
   CHECK(std::ranges::count(w.instances.log, "release r") == 1);
 }
 
@@ -151,16 +151,16 @@
   CHECK(w.conductor->figures().held_overdue == 1);
   w.instances.attempt->events.on_data("x");
   w.instances.end_attempt(Verdict::served);
-  w.time.settle();
+  w.time.run_ready();
   CHECK(w.answers == EventLog{"begin", "x", "end"});
 }
 
 TEST_CASE("Core: a reset proves no more than the write did and the release clock continues") {
   CoreFixture w;
   start_unanswered_decode(w, 0);
-  w.time.pass(100ms);
+  w.time.advance(100ms);
   w.instances.end_attempt(Verdict::broken, Progress::written);
-  w.time.pass(20ms);
+  w.time.advance(20ms);
   REQUIRE(w.instances.attempt != nullptr);
   w.instances.finish_write();
   check_released_after(w, 80ms);
@@ -169,9 +169,9 @@
 TEST_CASE("Core: an answer proves that an attempt had arrived and its end restarts the release clock") {
   CoreFixture w;
   start_unanswered_decode(w, 0);
-  w.time.pass(100ms);
+  w.time.advance(100ms);
   w.instances.end_attempt(Verdict::busy);
-  w.time.settle();
+  w.time.run_ready();
   REQUIRE(w.instances.attempt != nullptr);
   w.instances.finish_write();
   check_released_after(w, 200ms);
@@ -181,7 +181,7 @@
   CoreFixture w;
   start_unanswered_decode(w, 0);
   w.instances.attempt->current_progress = Progress::head;
-  w.time.pass(1s);
+  w.time.advance(1s);
   CHECK(w.instances.releases.empty());
 }
 
@@ -194,11 +194,11 @@
   w.send_request(0, 3000);
   w.instances.finish_write();
   w.instances.end_attempt(Verdict::state_held);
-  w.time.settle();
+  w.time.run_ready();
   REQUIRE(w.instances.attempt->name != "r");
-  w.time.pass(199ms);
+  w.time.advance(199ms);
   REQUIRE(w.instances.attempt->name != "r");
-  w.time.pass(20ms);
+  w.time.advance(20ms);
   REQUIRE(w.instances.attempt != nullptr);
   CHECK(w.instances.attempt->name == "r");
   CHECK(std::ranges::count(w.instances.log, "release r") >= 1);
@@ -208,10 +208,10 @@
   CoreFixture w;
   start_unanswered_decode(w, 0);
   const std::string first = w.instances.attempt->name;
-  w.time.pass(210ms);
+  w.time.advance(210ms);
   w.instances.releases.at(0)(true);
   w.instances.end_attempt(Verdict::broken, Progress::written);
-  w.time.pass(20ms);
+  w.time.advance(20ms);
   REQUIRE(w.instances.attempt != nullptr);
   CHECK(w.instances.attempt->name == "r");
 }
@@ -225,13 +225,13 @@
   REQUIRE(w.instances.reservations.size() == 1);
   SECTION("no answer, or one that does not know the prefill") {
     if (GENERATE(false, true)) w.instances.reservations.at(0)(ReservationAnswer::unknown);
-    w.time.pass(200ms);
+    w.time.advance(200ms);
     CHECK(std::ranges::count(w.instances.log, "release w") == 1);
     CHECK(std::ranges::count(w.instances.log, "release r") == 0);  // nothing is held there yet
   }
   SECTION("the answer to a reservation proves that the prefill is in progress") {
     w.instances.reservations.at(0)(ReservationAnswer::held);
-    w.time.pass(400ms);
+    w.time.advance(400ms);
     CHECK(w.instances.releases.empty());
   }
 }
@@ -241,12 +241,12 @@
   CoreFixture w;
   w.list_instance("v", 1);
   break_off_prefill(w);
-  w.time.settle();
+  w.time.run_ready();
   REQUIRE(w.instances.attempt != nullptr);
   w.instances.finish_write();
   std::exchange(w.instances.releases, {});  // the release gets no answer either
   w.instances.log.clear();
-  w.time.pass(300ms);
+  w.time.advance(300ms);
   for (const char* release : {"release r", "release w", "release v"}) {
     INFO(release);
     CHECK(std::ranges::count(w.instances.log, release) >= 1);
@@ -262,7 +262,7 @@
   const RequestId id = w.send_request(0, 3000, 900ms);
   w.instances.finish_write();
   w.conductor->client_gone(id);
-  w.time.settle();
+  w.time.run_ready();
   REQUIRE(std::ranges::count(w.instances.log, "release r") == 1);
   const auto answer = [&w] {
     for (const auto& done : std::exchange(w.instances.releases, {})) done(true);
@@ -270,11 +270,11 @@
   answer();
   CHECK_FALSE(w.conductor->releasing());  // the end of this process does not wait for the repeats
   for (int repeats = 1; repeats <= 8; ++repeats) {
-    w.time.pass(250ms);
+    w.time.advance(250ms);
     CHECK(std::ranges::count(w.instances.log, "release r") == 1 + repeats);
     answer();
   }
-  w.time.pass(2s);  // the prefill's deadline passed a second ago
+  w.time.advance(2s);  // the prefill's deadline passed a second ago
   CHECK(std::ranges::count(w.instances.log, "release r") == 9);
 }
 
@@ -287,13 +287,13 @@
   REQUIRE(w.instances.attempt->name == "r");
   w.instances.finish_write();
   w.conductor->client_gone(id);
-  w.time.pass(50ms);  // the release gets no answer, and a new connection is tried
+  w.time.advance(50ms);  // the release gets no answer, and a new connection is tried
   REQUIRE(w.instances.log.back() == "release r");
   REQUIRE(w.instances.fresh.back());
   w.instances.releases.back()(true);
   CHECK(w.conductor->releasing());
   for (int i = 0; i < 12; ++i) {
-    w.time.pass(250ms);
+    w.time.advance(250ms);
     for (const auto& done : std::exchange(w.instances.releases, {})) done(true);
   }
   CHECK_FALSE(w.conductor->releasing());
@@ -314,10 +314,10 @@
   delivery.start({1, nullptr, 9, time.now(), time.now() + 3s});
   instances.releases.at(0)(true);
   unanswered = true;
-  time.pass(1s);
+  time.advance(1s);
   CHECK(instances.releases.size() == 1);
   unanswered = false;
-  time.pass(260ms);
+  time.advance(260ms);
   CHECK(instances.releases.size() == 2);
 }
 
@@ -330,7 +330,7 @@
   w.send_request(1, 100);
   w.instances.finish_write();
   w.instances.end_attempt(Verdict::state_held);
-  w.time.pass(1s);
+  w.time.advance(1s);
   CHECK(w.answers == EventLog{"failed"});
   CHECK(std::ranges::count(w.instances.log, "open w") + std::ranges::count(w.instances.log, "open v") == 1);
 }
@@ -345,11 +345,11 @@
   REQUIRE(w.instances.attempt != nullptr);
   w.instances.finish_write();
   w.conductor->client_gone(id);
-  w.time.settle();
+  w.time.run_ready();
   REQUIRE(std::ranges::count(w.instances.log, "release r") == 1);
   w.instances.log.clear();
   std::exchange(w.instances.releases, {});  // it neither arrives nor fails, because the instance is cut off
-  w.time.pass(50ms);
+  w.time.advance(50ms);
   REQUIRE(w.instances.log.size() == 2);
   const std::string first = w.instances.log[0];
   CHECK((first == "release v" || first == "release w"));
@@ -358,12 +358,12 @@
   CHECK(w.instances.fresh == std::vector<bool>{false, true, true});
   CHECK(w.conductor->releasing());
   w.instances.releases.at(0)(false);
-  w.time.pass(50ms);
+  w.time.advance(50ms);
   REQUIRE(w.instances.log.size() == 3);
   CHECK(w.instances.log[2] == (first == "release v" ? "release w" : "release v"));
   w.instances.releases.at(2)(true);
   CHECK_FALSE(w.conductor->releasing());
-  w.time.pass(1s);
+  w.time.advance(1s);
   CHECK(w.instances.log.size() == 3);
 }
 
@@ -386,10 +386,10 @@
   w.instances.finish_write();
   w.instances.reservations.at(0)(ReservationAnswer::held);
   w.instances.end_attempt(Verdict::state_held);
-  w.time.settle();
+  w.time.run_ready();
   w.instances.attempt->events.on_data("x");
   w.instances.end_attempt(Verdict::served);
-  w.time.pass(1s);
+  w.time.advance(1s);
   CHECK(w.instances.log == EventLog{"open r", "claim w", "close r", "open w", "close w"});
   CHECK(w.answers == EventLog{"begin", "x", "end"});
 }
@@ -401,7 +401,7 @@
   const RequestId id = w.send_request(0, kLongPrompt);
   w.instances.finish_write();
   w.conductor->client_gone(id);
-  w.time.settle();
+  w.time.run_ready();
   for (const auto& done : std::exchange(w.instances.releases, {})) done(true);
   CHECK(w.instances.log == EventLog{"open r", "claim w", "close r", "release r", "release w"});
   w.instances.reservations.at(0)(ReservationAnswer::held);
@@ -417,11 +417,11 @@
   const RequestId id = w.send_request(0, kLongPrompt);
   w.instances.finish_write();
   w.conductor->client_gone(id);  // the prefill that was cut off may have left its cache
-  w.time.settle();
+  w.time.run_ready();
   REQUIRE(w.instances.log == EventLog{"open r", "claim w", "close r", "release r", "release w"});
   w.instances.releases.at(1)(true);
   w.instances.releases.at(0)(false);
-  w.time.pass(100ms);
+  w.time.advance(100ms);
   CHECK(w.instances.log.back() == "release r");
   const std::size_t before = w.instances.log.size();
   w.list_instance("r", 0, eiderarch::EngineState::gone);
@@ -431,7 +431,7 @@
   fresh.entry.started = w.time.now();
   w.conductor->update_fleet({eiderarch::ListScope::changes, {fresh}});
   w.instances.releases.back()(false);
-  w.time.pass(1s);
+  w.time.advance(1s);
   CHECK(w.instances.log.size() == before);
   CHECK_FALSE(w.conductor->releasing());
 }
@@ -443,13 +443,13 @@
   const RequestId id = w.send_request(0, kLongPrompt);
   w.instances.finish_write();
   w.conductor->client_gone(id);
-  w.time.settle();
+  w.time.run_ready();
   REQUIRE(w.instances.log == EventLog{"open r", "claim w", "close r", "release r", "release w"});
   w.instances.releases.at(1)(true);
   // It accepts no calls, and what it held is freed with it.
   w.list_instance("r", 0, eiderarch::EngineState::gone);
   w.instances.releases.at(0)(false);
-  w.time.pass(1s);
+  w.time.advance(1s);
   CHECK(w.instances.log.size() == 5);
   CHECK_FALSE(w.conductor->releasing());
 }
@@ -462,10 +462,10 @@
   w.instances.finish_write();
   w.list_instance("r", 0, eiderarch::EngineState::gone);
   w.conductor->client_gone(id);
-  w.time.settle();
+  w.time.run_ready();
   CHECK(std::ranges::count(w.instances.log, "release r") == 1);
   for (const auto& done : std::exchange(w.instances.releases, {})) done(false);
-  w.time.pass(1s);
+  w.time.advance(1s);
   CHECK(std::ranges::count(w.instances.log, "release r") == 1);
   // A live instance is tried until it accepts the release.
   CHECK(std::ranges::count(w.instances.log, "release w") > 1);
@@ -480,12 +480,12 @@
   w.send_request(0, kLongPrompt);
   w.instances.finish_write();
   w.instances.end_attempt(Verdict::broken, Progress::written);  // the prefill may have completed
-  w.time.settle();
+  w.time.run_ready();
   REQUIRE(std::ranges::count(w.instances.log, "release r") == 1);
   REQUIRE(std::ranges::count(w.instances.log, "open r") == 2);
   CHECK(w.instances.attempt->may_write());                            // its first byte withdraws the release
   w.instances.end_attempt(Verdict::broken, Progress::not_connected);  // and its last byte was never sent
-  w.time.settle();
+  w.time.run_ready();
   CHECK(std::ranges::count(w.instances.log, "release r") == 2);
 }
 
@@ -494,12 +494,12 @@
 TEST_CASE("Core: a release is retried while the next prefill there connects and until its first byte") {
   CoreFixture w;
   break_off_prefill(w);
-  w.time.settle();
+  w.time.run_ready();
   REQUIRE(w.instances.log.back() == "open r");
   REQUIRE(std::ranges::count(w.instances.log, "release r") == 1);
   CHECK(w.instances.may_release.at(0)());
   w.instances.releases.at(0)(false);  // it did not arrive
-  w.time.pass(20ms);
+  w.time.advance(20ms);
   REQUIRE(w.instances.log.back() == "release r");
   CHECK(std::ranges::count(w.instances.log, "release r") == 2);
   CHECK(w.instances.may_release.back()());
@@ -512,7 +512,7 @@
   break_off_prefill(w);
   REQUIRE(w.instances.log.back() == "release r");
   CHECK(w.instances.may_release.at(0)());
-  w.time.settle();
+  w.time.run_ready();
   REQUIRE(w.instances.log.back() == "open r");
   w.instances.finish_write();
   CHECK_FALSE(w.instances.may_release.at(0)());
@@ -530,7 +530,7 @@
   w.instances.releases.back()(false);  // so it is sent to another instance at once
   REQUIRE(w.instances.log.back() == "release w");
   CHECK(w.instances.may_release.back()());
-  w.time.settle();
+  w.time.run_ready();
   REQUIRE(w.instances.attempt != nullptr);
   CHECK_FALSE(w.instances.may_release.back()());
 }
@@ -543,15 +543,15 @@
   w.send_request(0, kLongPrompt);
   w.instances.finish_write();
   w.instances.end_attempt(Verdict::state_held);
-  w.time.settle();
+  w.time.run_ready();
   const std::string first = w.instances.attempt->name;
   w.instances.end_attempt(Verdict::busy);
-  w.time.settle();
+  w.time.run_ready();
   REQUIRE(w.instances.attempt != nullptr);
   REQUIRE(w.instances.attempt->name != first);
   w.instances.finish_write();
   w.instances.attempt->events.on_data("a");
-  w.time.settle();
+  w.time.run_ready();
   const auto before = std::ranges::count(w.instances.log, "release " + first);
   w.instances.reservations.at(0)(ReservationAnswer::unknown);
   CHECK(std::ranges::count(w.instances.log, "release " + first) == before + 1);
@@ -571,11 +571,11 @@
   w.send_request(1, 100);
   w.instances.finish_write();
   w.instances.attempt->events.on_data("x");
-  w.time.settle();
+  w.time.run_ready();
   w.list_instance("w", 2, eiderarch::EngineState::gone);
-  w.time.pass(2s);
+  w.time.advance(2s);
   CHECK(w.answers == EventLog{"begin", "x"});
-  w.time.pass(2s);
+  w.time.advance(2s);
   CHECK(w.answers == EventLog{"begin", "x", "abort"});
   CHECK(w.conductor->open_requests() == 0);
 }
@@ -651,7 +651,7 @@
   w.instances.finish_write();
   w.instances.attempt->events.on_data("y");
   w.instances.end_attempt(Verdict::served);
-  w.time.pass(1s);
+  w.time.advance(1s);
   CHECK(w.answers == EventLog{"begin", "x", "go on", "y", "end"});
   CHECK(w.conductor->open_requests() == 0);
   CHECK(w.conductor->figures().saved == 1);
@@ -663,9 +663,9 @@
   w.list_instance("a", 2);
   w.send_request(0, 100, 5s, 9);
   w.list_instance("a", 2, eiderarch::EngineState::draining);
-  w.time.pass(1s);
+  w.time.advance(1s);
   w.lose_stream("x");
-  w.time.pass(2s);
+  w.time.advance(2s);
   CHECK(w.answers == EventLog{"begin", "x", "go on", "abort"});
   CHECK(w.instances.log == EventLog{"open a", "close a"});
   CHECK(w.conductor->open_requests() == 0);
@@ -676,13 +676,13 @@
   for (const char* id : {"a", "b", "c", "d", "e", "f"}) w.list_instance(id, 2);
   w.send_request(0, 100, 5s, 99);
   while (w.instances.attempt != nullptr) w.lose_stream("x");
-  w.time.pass(2s);
+  w.time.advance(2s);
   CHECK(std::ranges::count(w.answers, "go on") == 3);
   CHECK(w.answers.back() == "abort");
   w.answers.clear();
   w.send_request(1, 100, 5s, 99);
   w.lose_stream("x");
-  w.time.pass(2s);
+  w.time.advance(2s);
   CHECK(w.answers == EventLog{"begin", "x", "abort"});
 }
 
@@ -694,7 +694,7 @@
   w.lose_stream("x");
   REQUIRE(w.instances.attempt != nullptr);
   w.conductor->client_gone(id);
-  w.time.pass(100ms);
+  w.time.advance(100ms);
   CHECK(w.instances.attempt == nullptr);
   CHECK(w.conductor->open_requests() == 0);
   CHECK(w.answers == EventLog{"begin", "x", "go on"});
--- a/tests/core_world.hpp
+++ b/tests/core_world.hpp
@@ -149,7 +149,7 @@
     row.entry.kind = kind;
     row.entry.state = state;
     conductor->update_fleet({eiderarch::ListScope::changes, {row}});
-    time.settle();
+    time.run_ready();
   }
   // `continuations`: how many times the reply can continue an answer whose instance was lost.
   RequestId send_request(std::uint32_t cls, Tokens prompt, Duration patience = 5s, int continuations = 0) {
@@ -160,16 +160,16 @@
     client_request.facts.deadline = time.now() + patience;
     const RequestId id = conductor->accept(
         std::move(client_request), std::make_unique<FakeReply>(answers, continuations, client_closed));
-    time.settle();
+    time.run_ready();
     return id;
   }
   // The current attempt streams `word` and is lost.
   void lose_stream(const std::string& word) {
     instances.finish_write();
     instances.attempt->events.on_data(word);
-    time.settle();
+    time.run_ready();
     instances.end_attempt(Verdict::broken, Progress::streaming);
-    time.settle();
+    time.run_ready();
   }
 };
 
--- a/tests/fake_time.hpp
+++ b/tests/fake_time.hpp
@@ -34,17 +34,17 @@
     return timer;
   }
   void soon(std::function<void()> run) override { soon_.push_back(std::move(run)); }
-  void settle() {
+  void run_ready() {
     while (!soon_.empty()) {
       for (const auto& run : std::exchange(soon_, {})) run();
     }
   }
   // Delays the loop: time advances, and no timer fires yet.
-  void hold_up(Duration time) { now_ += time; }
+  void delay_loop(Duration time) { now_ += time; }
   // Advances time from timer to timer, or at once to the end, as a delayed loop would.
-  void pass(Duration time, bool late = false) {
+  void advance(Duration time, bool late = false) {
     const Time end = now_ + time;
-    settle();
+    run_ready();
     while (!timers_.empty() && timers_.begin()->first <= end) {
       const auto first = timers_.begin();
       now_ = late ? end : std::max(now_, first->first);
@@ -52,7 +52,7 @@
       timer->pending = false;
       timers_.erase(first);
       run();
-      settle();
+      run_ready();
     }
     now_ = end;
   }
--- a/tests/handover_test.cpp
+++ b/tests/handover_test.cpp
@@ -223,7 +223,7 @@
     payload->id = "r-1";
     ask.payload = payload;
     conductor->accept(std::move(ask), std::make_unique<FakeReply>(log));
-    time.settle();
+    time.run_ready();
   }
   core::RequestId take_over(const core::RunningStream& stream) {
     const auto id =
@@ -232,7 +232,7 @@
           instances.current = attempt.get();
           return attempt;
         });
-    time.settle();
+    time.run_ready();
     return id;
   }
   void end_attempt(core::Verdict verdict) {
@@ -240,7 +240,7 @@
     result.verdict = verdict;
     result.progress = core::Progress::streaming;
     instances.current->events.on_ended(std::move(result));
-    time.settle();
+    time.run_ready();
   }
 };
 
@@ -249,13 +249,13 @@
   first.ask();
   first.instances.current->events.on_written();
   first.instances.current->events.on_data("a");
-  first.time.pass(2s);
+  first.time.advance(2s);
   core::RunningStream passed;
   CHECK(first.conductor->pass_streams([&passed](const core::RunningStream& stream) {
     passed = stream;
     return true;
   }) == 1);
-  first.time.settle();
+  first.time.run_ready();
   return passed;
 }
 
@@ -289,16 +289,16 @@
     Process first, second;
     second.take_over(start_and_hand_over(first));
     second.instances.current->events.on_data("b");
-    silent ? second.time.pass(5s) : second.end_attempt(core::Verdict::broken);
+    silent ? second.time.advance(5s) : second.end_attempt(core::Verdict::broken);
     CHECK(second.log == Log{"b", "close", "abort"});
-    second.time.pass(10s);
+    second.time.advance(10s);
     CHECK(second.conductor->open_requests() == 0);
     CHECK(second.conductor->figures().attempts == 0);
   }
   Process first, second;
   const core::RequestId id = second.take_over(start_and_hand_over(first));
   second.conductor->client_gone(id);
-  second.time.settle();
+  second.time.run_ready();
   CHECK(second.log == Log{"close"});
   CHECK(second.results == std::vector{core::RequestRecord::Result::gone});
 }
@@ -308,7 +308,7 @@
   const core::RunningStream passed = start_and_hand_over(first);
   second.conductor->take_over(passed, std::make_unique<FakeReply>(second.log),
                               [](core::AttemptEvents&) { return std::unique_ptr<core::Attempt>(); });
-  second.time.pass(10s);
+  second.time.advance(10s);
   CHECK(second.log == Log{"abort"});
   CHECK(second.conductor->open_requests() == 0);
 }
--- a/tests/repeat_test.cpp
+++ b/tests/repeat_test.cpp
@@ -99,9 +99,9 @@
     WithPrefill w;
     w.start_prefill(cls);
     w.instances.end_attempt(Verdict::broken, Progress::written, true);
-    w.time.pass(9ms);
+    w.time.advance(9ms);
     CHECK(attempts_opened(w) == 1);
-    w.time.pass(1ms);
+    w.time.advance(1ms);
     CHECK(attempts_opened(w) == 2);
   }
 }
@@ -110,7 +110,7 @@
   WithPrefill w;
   w.start_prefill(kUnsafe);
   w.instances.end_attempt(Verdict::broken, Progress::written);
-  w.time.settle();
+  w.time.run_ready();
   CHECK(attempts_opened(w) == 2);
 }
 
@@ -118,12 +118,12 @@
   WithPrefill w;
   w.start_prefill(kUnsafe);
   const std::string first = w.instances.attempt->name;
-  for (int i = 0; i < 6000 && w.instances.attempt != nullptr; ++i) w.time.pass(1ms);
+  for (int i = 0; i < 6000 && w.instances.attempt != nullptr; ++i) w.time.advance(1ms);
   REQUIRE(w.instances.attempt == nullptr);  // cancelled by the module, too late for another attempt
   REQUIRE(w.instances.log == EventLog{"open " + first, "close " + first, "release " + first});
-  w.time.pass(8ms);
+  w.time.advance(8ms);
   CHECK(w.answers.empty());
-  w.time.pass(2ms);
+  w.time.advance(2ms);
   CHECK(w.answers == EventLog{"refused"});
 }
 
@@ -133,11 +133,11 @@
     WithPrefill w;
     w.start_prefill(cls);
     w.conductor->abandon();
-    w.time.pass(9ms);
+    w.time.advance(9ms);
     CHECK(w.answers == (cls == kSafe ? EventLog{"refused"} : EventLog{}));
-    w.time.pass(1ms);
+    w.time.advance(1ms);
     CHECK(w.answers == EventLog{"refused"});
-    w.time.pass(1s);
+    w.time.advance(1s);
     CHECK(w.answers.size() == 1);
     CHECK(attempts_opened(w) == 1);
     CHECK(w.conductor->open_requests() == 0);
@@ -149,9 +149,9 @@
   WithPrefill w;
   w.start_prefill(kUnsafe);
   w.instances.end_attempt(Verdict::broken, Progress::written, true);
-  w.time.pass(5ms);
+  w.time.advance(5ms);
   w.conductor->abandon();
-  w.time.pass(1s);
+  w.time.advance(1s);
   CHECK(attempts_opened(w) == 1);
   CHECK(w.answers == EventLog{"refused"});
 }
@@ -161,9 +161,9 @@
   const RequestId id = w.send_request(kUnsafe, 3000);
   w.instances.finish_write();
   w.instances.end_attempt(Verdict::broken, Progress::written, true);
-  w.time.pass(5ms);
+  w.time.advance(5ms);
   w.conductor->client_gone(id);
-  w.time.pass(1s);
+  w.time.advance(1s);
   CHECK(attempts_opened(w) == 1);
   CHECK(w.answers.empty());
   CHECK(w.conductor->open_requests() == 0);
@@ -174,9 +174,9 @@
   WithPrefill w;
   w.send_request(kUnsafe, 3000, 400ms);
   w.instances.finish_write();
-  w.time.pass(400ms + 9ms);
+  w.time.advance(400ms + 9ms);
   CHECK(w.answers.empty());
-  w.time.pass(1ms);
+  w.time.advance(1ms);
   CHECK(w.answers == EventLog{"refused"});
   CHECK(w.conductor->open_requests() == 0);  // otherwise the process would never end
 }
@@ -191,15 +191,15 @@
   w.start_prefill(kUnsafe);
   const std::string other = w.instances.attempt->name == "r1" ? "r2" : "r1";
   w.instances.end_attempt(Verdict::broken, Progress::written, true);
-  w.time.pass(5ms);  // the further attempt has been chosen, and waits
+  w.time.advance(5ms);  // the further attempt has been chosen, and waits
   w.list_instance(other, kDecode);
-  w.time.pass(5ms);
+  w.time.advance(5ms);
   REQUIRE(w.instances.attempt != nullptr);
   REQUIRE(w.instances.attempt->name == other);
   CHECK(w.instances.attempt->may_write());
   w.instances.finish_write();
   w.instances.end_attempt(Verdict::broken, Progress::written);
-  w.time.settle();
+  w.time.run_ready();
   // The module may order a prefill again, which has no effect; nothing else is sent.
   for (int i = 0; i < 4 && w.instances.attempt != nullptr; ++i) {
     if (w.instances.attempt->may_write()) {
@@ -209,9 +209,9 @@
     } else {
       w.instances.end_attempt(Verdict::broken, Progress::not_connected);
     }
-    w.time.settle();
+    w.time.run_ready();
   }
-  w.time.pass(1s);
+  w.time.advance(1s);
   CHECK(w.answers == EventLog{"failed"});
 }
 
@@ -224,6 +224,6 @@
   row.entry.engine = std::hash<std::string>{}("w");
   row.entry.kind = eiderarch::kKindNotNamed;
   w.conductor->update_fleet({eiderarch::ListScope::changes, {row}});
-  w.time.settle();
+  w.time.run_ready();
   CHECK(w.conductor->fleet().find(row.entry.engine)->entry.kind == kMixed);
 }
