--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -172,9 +172,9 @@
       f.timers.erase(f.timers.begin());
     }
     if (events.empty()) return;
-    f.checker.saw(now_, events);
+    f.checker.record_events(now_, events);
     const std::vector<Action> actions = f.router.handle(now_, events);
-    f.checker.did(now_, actions);
+    f.checker.record_actions(now_, actions);
     for (const Action& action : actions) {
       if (const auto* timer = std::get_if<SetTimer>(&action)) f.timers.insert({timer->at, timer->tag});
       if (const auto* send = std::get_if<Send>(&action)) on_send(*send);
--- a/tests/front.hpp
+++ b/tests/front.hpp
@@ -80,9 +80,9 @@
   RouterHarness& operator=(const RouterHarness&) = delete;
 
   std::vector<Action> give(const std::vector<Event>& events) {
-    checker_.saw(now, events);
+    checker_.record_events(now, events);
     last = router_.handle(now, events);
-    checker_.did(now, last);
+    checker_.record_actions(now, last);
     for (const Action& action : last) {
       if (const auto* timer = std::get_if<SetTimer>(&action)) timers_.insert({timer->at, timer->tag});
       log.push_back(action);
--- a/tests/random_test.cpp
+++ b/tests/random_test.cpp
@@ -57,9 +57,9 @@
   }
 
   void give(const std::vector<Event>& events) {
-    checker_.saw(now_, events);
+    checker_.record_events(now_, events);
     const auto actions = router_.handle(now_, events);
-    checker_.did(now_, actions);
+    checker_.record_actions(now_, actions);
     for (const Action& action : actions) execute(action);
   }
 
@@ -277,12 +277,12 @@
   r.deadline = 5s;
   auto list = plain_list();
   list[3].state = EngineState::draining;
-  checker.saw(1s, {ListChanged{ListScope::disk, list}, r});
-  checker.did(1s, {Send{1, kDecodeA, 0s}});
-  checker.saw(2s, {AttemptEnded{1, 0, kDecodeA, Outcome::error, 1s, false, 0, {}}});
-  checker.did(2s, {Send{1, kDecodeB, 0s}});
+  checker.record_events(1s, {ListChanged{ListScope::disk, list}, r});
+  checker.record_actions(1s, {Send{1, kDecodeA, 0s}});
+  checker.record_events(2s, {AttemptEnded{1, 0, kDecodeA, Outcome::error, 1s, false, 0, {}}});
+  checker.record_actions(2s, {Send{1, kDecodeB, 0s}});
   EXPECT_EQ(checker.faults().size(), 2U);  // an unsafe repeat, to a draining instance
-  checker.did(2s, {Refuse{1, 0s}, Fail{1}});
+  checker.record_actions(2s, {Refuse{1, 0s}, Fail{1}});
   EXPECT_GE(checker.faults().size(), 4U);
 }
 
@@ -297,16 +297,16 @@
   unsafe.id = 2;
   unsafe.request_class = 2;
   safe.deadline = unsafe.deadline = 5s;
-  checker.saw(1s, {ListChanged{ListScope::disk, plain_list()}, safe, unsafe});
-  checker.did(1s, {Send{1, kDecodeA, 0s}, Send{1, kDecodeB, 0s}, Send{2, kDecodeA, 0s}});
+  checker.record_events(1s, {ListChanged{ListScope::disk, plain_list()}, safe, unsafe});
+  checker.record_actions(1s, {Send{1, kDecodeA, 0s}, Send{1, kDecodeB, 0s}, Send{2, kDecodeA, 0s}});
   EXPECT_TRUE(checker.faults().empty());
   // A second copy, and a repeat of a request that may have run.
-  checker.did(1s, {Send{2, kDecodeB, 0s}});
+  checker.record_actions(1s, {Send{2, kDecodeB, 0s}});
   EXPECT_EQ(checker.faults().size(), 2U);
-  checker.saw(2s, {AttemptEnded{1, 0, kDecodeA, Outcome::busy, 1s, false, 0, {}}});
-  checker.did(2s, {Refuse{1, 1500ms}});
+  checker.record_events(2s, {AttemptEnded{1, 0, kDecodeA, Outcome::busy, 1s, false, 0, {}}});
+  checker.record_actions(2s, {Refuse{1, 1500ms}});
   EXPECT_EQ(checker.faults().size(), 3U);  // advice above the longest allowed
-  checker.did(2s, {Move{2}});
+  checker.record_actions(2s, {Move{2}});
   EXPECT_EQ(checker.faults().size(), 4U);  // moves are not allowed by these settings
 }
 
--- a/tests/rule_checker.hpp
+++ b/tests/rule_checker.hpp
@@ -22,11 +22,11 @@
 
   explicit RuleChecker(Settings settings) : s_(std::move(settings)) {}
 
-  void saw(Time now, const std::vector<Event>& events) {
+  void record_events(Time now, const std::vector<Event>& events) {
     now_ = now;
     for (const Event& event : events) std::visit([this](const auto& e) { apply_event(e); }, event);
   }
-  void did(Time now, const std::vector<Action>& actions) {
+  void record_actions(Time now, const std::vector<Action>& actions) {
     now_ = now;
     for (const Action& action : actions) std::visit([this](const auto& a) { check_action(a); }, action);
     for (auto& [id, r] : requests_) check_held(id, r);
