--- a/tests/front.hpp
+++ b/tests/front.hpp
@@ -71,7 +71,7 @@
   explicit RouterHarness(const Settings& settings = plain_settings(),
                          std::vector<EngineEntry> list = plain_list())
       : router_(settings), checker_(settings) {
-    give({ListChanged{ListScope::disk, std::move(list)}});
+    handle({ListChanged{ListScope::disk, std::move(list)}});
   }
   ~RouterHarness() {
     for (const std::string& fault : checker_.faults()) ADD_FAILURE() << fault;
@@ -79,7 +79,7 @@
   RouterHarness(RouterHarness&&) = delete;
   RouterHarness& operator=(const RouterHarness&) = delete;
 
-  std::vector<Action> give(const std::vector<Event>& events) {
+  std::vector<Action> handle(const std::vector<Event>& events) {
     checker_.record_events(now, events);
     last = router_.handle(now, events);
     checker_.record_actions(now, last);
@@ -97,7 +97,7 @@
       const auto due = *timers_.begin();
       timers_.erase(timers_.begin());
       now = std::max(now, due.first);
-      give({TimerFired{due.second}});
+      handle({TimerFired{due.second}});
     }
     now = end;
   }
@@ -113,7 +113,7 @@
     r.prefix_tokens = prefix_tokens;
     r.max_output = 200;
     r.deadline = now + 6s;
-    return give({r});
+    return handle({r});
   }
 
   std::vector<Action> end(RequestId id, int attempt, EngineId engine, Outcome outcome, Tokens detail = 0,
@@ -126,10 +126,10 @@
     e.elapsed = 50ms;
     e.detail = detail;
     e.request_over = over;
-    return give({e});
+    return handle({e});
   }
   std::vector<Action> stream(RequestId id, int attempt, EngineId engine) {
-    return give({StreamStarted{id, attempt, engine, 50ms}});
+    return handle({StreamStarted{id, attempt, engine, 50ms}});
   }
 
   // Runs a request without faults from arrival to end; returns the decode instance.
--- a/tests/nearness_test.cpp
+++ b/tests/nearness_test.cpp
@@ -30,7 +30,7 @@
     ASSERT_LT(id, 50U);
   }
   f.stream(id, 0, decode_instance);
-  f.give({AttemptEnded{
+  f.handle({AttemptEnded{
       id, 0, decode_instance, Outcome::served, 50ms, true, 0, {{ReportField::memory_share, share}}}});
 }
 
--- a/tests/random_test.cpp
+++ b/tests/random_test.cpp
@@ -27,7 +27,7 @@
     list_ = {entry(kPrefillA, 0, 0), entry(kPrefillB, 0, 1), entry(13, 0, 2),
              entry(kDecodeA, 1, 0),  entry(kDecodeB, 1, 1),  entry(23, 1, 2)};
     if (s_.kinds.size() > 2) list_.push_back(entry(kMixed, 2, 0));
-    give({ListChanged{ListScope::disk, list_}});
+    handle({ListChanged{ListScope::disk, list_}});
   }
 
   void run(int steps) {
@@ -36,11 +36,11 @@
       std::vector<Event> events = due();
       if (chance(0.08)) events.push_back(request());
       if (chance(0.008)) events.push_back(list_change());
-      give(events);
+      handle(events);
     }
     while (!active_.empty() || now_ < last_deadline_ + 1s) {
       now_ += 4ms;
-      give(due());
+      handle(due());
     }
     checker_.finish(now_);
   }
@@ -56,7 +56,7 @@
     return reported ? random_report(draw_) : LoadReport{};
   }
 
-  void give(const std::vector<Event>& events) {
+  void handle(const std::vector<Event>& events) {
     checker_.record_events(now_, events);
     const auto actions = router_.handle(now_, events);
     checker_.record_actions(now_, actions);
--- a/tests/router_ending_test.cpp
+++ b/tests/router_ending_test.cpp
@@ -28,7 +28,7 @@
   RouterHarness f;
   f.arrive(1);
   const auto prefill_instance = f.sent();
-  f.give({RequestGone{1}});
+  f.handle({RequestGone{1}});
   EXPECT_EQ(f.count<Cancel>(), 1);
   f.end(1, 0, *prefill_instance, Outcome::state_held, 0, true);
   EXPECT_EQ(f.count<Release>(), 1);
@@ -39,7 +39,7 @@
   RouterHarness f(plain_settings(), {});
   f.arrive(1);
   f.run(7s);
-  f.give({RequestGone{1}});
+  f.handle({RequestGone{1}});
   EXPECT_EQ(f.count<Refuse>() + f.count<Fail>() + f.count<Cancel>(), 0);
 }
 
@@ -71,7 +71,7 @@
   const auto decode_instance = f.sent();
   ASSERT_TRUE(is_decode_instance(decode_instance));
   f.now += 250ms;
-  f.give({AttemptEnded{1, 1, *decode_instance, Outcome::not_connected, 250ms, false, 0, {}}});
+  f.handle({AttemptEnded{1, 1, *decode_instance, Outcome::not_connected, 250ms, false, 0, {}}});
   EXPECT_GE(f.count<Release>(), 1);
   EXPECT_FALSE(is_decode_instance(f.sent())) << "another unreachable instance would take 250 ms more";
 }
@@ -84,7 +84,7 @@
     f.end(1, 0, *f.sent(), Outcome::state_held);
     const auto decode_instance = f.sent();
     f.now += after;
-    f.give({AttemptEnded{1, 1, *decode_instance, outcome, after, false, 0, {}}});
+    f.handle({AttemptEnded{1, 1, *decode_instance, outcome, after, false, 0, {}}});
     EXPECT_EQ(f.count<Release>(), 0);
     ASSERT_TRUE(is_decode_instance(f.sent()));
     EXPECT_NE(f.sent(), decode_instance);
--- a/tests/router_list_test.cpp
+++ b/tests/router_list_test.cpp
@@ -11,7 +11,7 @@
   RouterHarness f;
   auto draining = entry(kPrefillA, 0, 0);
   draining.state = EngineState::draining;
-  f.give({ListChanged{ListScope::changes, {draining}}});
+  f.handle({ListChanged{ListScope::changes, {draining}}});
   for (RequestId id = 1; id < 6; ++id) {
     f.arrive(id);
     EXPECT_NE(f.sent(), kPrefillA);
@@ -20,7 +20,7 @@
 
 TEST(Lists, AnInstanceMissingFromACompleteListIsGone) {
   RouterHarness f;
-  f.give({ListChanged{ListScope::complete, {entry(kPrefillB, 0, 1), entry(kDecodeB, 1, 1)}}});
+  f.handle({ListChanged{ListScope::complete, {entry(kPrefillB, 0, 1), entry(kDecodeB, 1, 1)}}});
   f.arrive(1);
   EXPECT_EQ(f.sent(), kPrefillB);
 }
@@ -40,7 +40,7 @@
   s.list_mode = ListMode::on_request;
   RouterHarness f(s);
   EXPECT_EQ(f.logged<Subscribe>(), 1);
-  f.give({ListChanged{ListScope::failed, {}}});
+  f.handle({ListChanged{ListScope::failed, {}}});
   f.run(2s);
   EXPECT_EQ(f.logged<Subscribe>(), 2);
 }
@@ -67,7 +67,7 @@
   RouterHarness f(s, {list[0], list[2], list[3]});
   auto new_entry = entry(kPrefillB, 0, 1);
   new_entry.started = f.now;
-  f.give({ListChanged{ListScope::changes, {new_entry}}});
+  f.handle({ListChanged{ListScope::changes, {new_entry}}});
   int to_new = 0;
   for (RequestId id = 1; id <= 10; ++id) {
     f.arrive(id);
@@ -87,7 +87,7 @@
   for (EngineId id = 6; id <= 10; ++id) list.push_back(entry(id, 1, 0));
   RouterHarness f(s, list);
   list[0].started = f.now;
-  f.give({ListChanged{ListScope::changes, {list[0]}}});
+  f.handle({ListChanged{ListScope::changes, {list[0]}}});
   for (RequestId id = 1; Duration(1s) * std::int64_t(id) <= length; ++id) {
     f.arrive(id, 0, 3000, seed * 100 + id);
     f.run(1s);
--- a/tests/router_path_test.cpp
+++ b/tests/router_path_test.cpp
@@ -110,7 +110,7 @@
     for (const EngineId prefill_instance : {kPrefillA, kPrefillB})
       f.end(id, 0, prefill_instance, Outcome::state_held);
   }
-  for (RequestId id = 1; id <= 4; ++id) f.give({StreamStarted{id, 1, kDecodeA, 4s}});
+  for (RequestId id = 1; id <= 4; ++id) f.handle({StreamStarted{id, 1, kDecodeA, 4s}});
   int far_after = 0;
   for (RequestId id = 11; id <= 13; ++id) {
     f.arrive(id);
@@ -129,7 +129,9 @@
 
 // A front that has received a list other than the one saved on disk.
 struct ListedFront : RouterHarness {
-  ListedFront() : RouterHarness(probe_settings()) { give({ListChanged{ListScope::complete, plain_list()}}); }
+  ListedFront() : RouterHarness(probe_settings()) {
+    handle({ListChanged{ListScope::complete, plain_list()}});
+  }
 };
 
 // Instances that were sent a probe.
@@ -148,7 +150,7 @@
     Settings s = probe_settings();
     s.report_mode = mode;
     RouterHarness f(s);
-    f.give({ListChanged{ListScope::complete, plain_list()}});
+    f.handle({ListChanged{ListScope::complete, plain_list()}});
     f.arrive(1);
     EXPECT_EQ(probed_instances(f.log).empty(), mode == ReportMode::none);
     EXPECT_EQ(f.sent().has_value(), mode == ReportMode::none);
@@ -164,10 +166,10 @@
   const std::vector<EngineId> home = probed_instances(f.arrive(1));
   ASSERT_EQ(home.size(), 1U);
   EXPECT_FALSE(f.sent());
-  const std::vector<EngineId> other = probed_instances(f.give({report(home[0], 90.0)}));
+  const std::vector<EngineId> other = probed_instances(f.handle({report(home[0], 90.0)}));
   ASSERT_EQ(other.size(), 1U);
   EXPECT_NE(other[0], home[0]);
-  f.give({report(other[0], 0.0)});
+  f.handle({report(other[0], 0.0)});
   EXPECT_EQ(f.sent(), other[0]);
 }
 
@@ -175,7 +177,7 @@
   ListedFront f;
   const std::vector<EngineId> home = probed_instances(f.arrive(1));
   ASSERT_EQ(home.size(), 1U);
-  f.give({report(home[0], 0.0)});
+  f.handle({report(home[0], 0.0)});
   EXPECT_EQ(f.sent(), home[0]);
   EXPECT_EQ(f.logged<Probe>(), 1);
 }
@@ -199,11 +201,11 @@
   ListedFront f;
   const std::vector<EngineId> home = probed_instances(f.arrive(1));
   ASSERT_EQ(home.size(), 1U);
-  f.give({report(home[0], std::numeric_limits<double>::quiet_NaN())});
+  f.handle({report(home[0], std::numeric_limits<double>::quiet_NaN())});
   f.run(100ms);
   EXPECT_EQ(f.logged<Send>(), 1);
   f.arrive(2);
-  f.give({report(home[0], -5.0)});
+  f.handle({report(home[0], -5.0)});
   f.run(100ms);
   EXPECT_EQ(f.logged<Send>(), 2);
 }
@@ -221,7 +223,7 @@
       ends.push_back(ProbeEnded{engine, runs ? Outcome::served : Outcome::not_connected, 1ms, {}});
     }
     answered = f.log.size();
-    ends.empty() ? f.run(20ms) : void(f.give(ends));
+    ends.empty() ? f.run(20ms) : void(f.handle(ends));
   }
   EXPECT_FALSE(gone.empty());
   EXPECT_EQ(f.sent(), kPrefillB);
@@ -279,7 +281,7 @@
   for (const Action& a : f.last) {
     if (const auto* claim = std::get_if<ClaimWriter>(&a)) decode_instance = claim->engine;
   }
-  f.give({PlaceAnswer{1, 0, decode_instance, true}});
+  f.handle({PlaceAnswer{1, 0, decode_instance, true}});
   f.end(1, 0, *prefill_instance, Outcome::state_held);
   EXPECT_EQ(f.sent(), decode_instance);
 }
@@ -289,7 +291,7 @@
   RouterHarness f(s);
   f.arrive(1);
   const auto prefill_instance = f.sent();
-  f.give({RequestGone{1}});
+  f.handle({RequestGone{1}});
   f.end(1, 0, *prefill_instance, Outcome::cancelled, 0, true);
   EXPECT_GE(f.logged<Release>(), 1);
 }
@@ -307,7 +309,7 @@
     const auto first = f.sent();
     admitted += id > kWarmUpRequests && first.has_value();
     if (is_prefill_instance(first)) {
-      f.give({AttemptEnded{id, 0, *first, Outcome::state_held, prefill_time, false, 0, {}}});
+      f.handle({AttemptEnded{id, 0, *first, Outcome::state_held, prefill_time, false, 0, {}}});
       f.end(id, 1, f.sent().value_or(0), Outcome::served, 0, true);
     } else if (first) {
       f.end(id, 0, *first, Outcome::served, 0, true);
--- a/tests/router_retry_test.cpp
+++ b/tests/router_retry_test.cpp
@@ -81,7 +81,7 @@
     lost.push_back(r);
   }
   std::vector<RequestId> sent;
-  for (const Action& action : f.give(lost)) {
+  for (const Action& action : f.handle(lost)) {
     if (const auto* send = std::get_if<Send>(&action)) {
       sent.push_back(send->id);
       EXPECT_NE(send->engine, kMixed);  // not where the answer broke off, while there is another
@@ -194,7 +194,7 @@
   const auto prefill_instance = f.sent();
   auto gone = entry(kDecodeA, 1, 0);
   gone.state = EngineState::gone;
-  f.give({ListChanged{ListScope::changes, {gone}}});
+  f.handle({ListChanged{ListScope::changes, {gone}}});
   f.end(1, 0, *prefill_instance, Outcome::state_held);
   EXPECT_EQ(f.sent(), kDecodeB);
 }
@@ -208,7 +208,7 @@
     for (int attempt = 0; f.sent() && attempt < 4; ++attempt) {
       f.end(RequestId(arrived) + 1, attempt, *f.sent(), Outcome::reset);
     }
-    f.give({RequestGone{RequestId(arrived) + 1}});
+    f.handle({RequestGone{RequestId(arrived) + 1}});
     f.now += gap;
   }
   return f.logged<Send>() - arrived;
--- a/tests/slow_start_test.cpp
+++ b/tests/slow_start_test.cpp
@@ -63,7 +63,7 @@
     std::vector<EngineEntry> new_entry{list_.front()};
     new_entry.front().started = processes_.front()->now;
     for (const auto& process : processes_) {
-      collect(*process, [&] { process->give({ListChanged{ListScope::changes, new_entry}}); });
+      collect(*process, [&] { process->handle({ListChanged{ListScope::changes, new_entry}}); });
     }
     sent_to_new_.clear();
     sent_to_warm_ = 0;
