--- a/tests/core_test.cpp
+++ b/tests/core_test.cpp
@@ -1,5 +1,5 @@
 // The lifecycle of a request in the core: each test lets two events cross, or an exchange fail, in one way.
-#include "core_world.hpp"
+#include "core_fixture.hpp"
 
 using namespace bankmux::test;
 using namespace std::chrono_literals;
--- a/tests/repeat_test.cpp
+++ b/tests/repeat_test.cpp
@@ -1,7 +1,7 @@
 // Requests that must not be executed twice: what proves that an attempt did not execute one, and what may
 // follow.
 #include "core/execution.hpp"
-#include "core_world.hpp"
+#include "core_fixture.hpp"
 
 using namespace bankmux::test;
 using eiderarch::Effect;
