--- a/src/app/operations.cpp
+++ b/src/app/operations.cpp
@@ -35,7 +35,7 @@
              [this](bool on) { drain(on); },
              [this](const std::string& id, bool out_of_rotation) { return maintain(id, out_of_rotation); }}),
       server_(loop, config.mgmt,
-              [this](std::unique_ptr<net::Incoming> incoming) { page_.handle(std::move(incoming)); },
+              [this](std::unique_ptr<net::IncomingRequest> incoming) { page_.handle(std::move(incoming)); },
               {.connections = kMaxConnections, .body_bytes = kMaxBodyBytes, .one_fault = true}) {
   server_.wind_down();  // one call per connection
   load_file();
--- a/src/app/serve.cpp
+++ b/src/app/serve.cpp
@@ -160,7 +160,7 @@
   const net::HttpServer::Place place =
       config.passed_socket ? net::HttpServer::Place(*config.passed_socket) : config.listen;
   net::HttpServer server(
-      loop, place, [&](std::unique_ptr<net::Incoming> incoming) { front.handle(std::move(incoming)); },
+      loop, place, [&](std::unique_ptr<net::IncomingRequest> incoming) { front.handle(std::move(incoming)); },
       resource_limits.clients);
   std::optional<StreamHandover> stream_handover;
   if (config.passed_socket) {
@@ -220,14 +220,14 @@
                          [&] { return page.standing().state == net::Standing::State::up; });
   net::HttpServer server(
       loop, appliance.listen,
-      [&](std::unique_ptr<net::Incoming> incoming) { front.handle(std::move(incoming)); },
+      [&](std::unique_ptr<net::IncomingRequest> incoming) { front.handle(std::move(incoming)); },
       chat_limits(resource_limits.clients, appliance), front.hooks());
   std::vector<net::HttpServer*> servers{&server};
   std::optional<net::HttpServer> operator_server;
   if (!appliance.operator_listen.empty()) {
     operator_server.emplace(
         loop, appliance.operator_listen,
-        [&](std::unique_ptr<net::Incoming> incoming) { page.handle(std::move(incoming)); },
+        [&](std::unique_ptr<net::IncomingRequest> incoming) { page.handle(std::move(incoming)); },
         net::ServerLimits{kOperatorConnections, kOperatorConnections * net::RequestParser::kMostBody});
     servers.push_back(&*operator_server);
   }
--- a/src/net/appliance/operator_page.cpp
+++ b/src/net/appliance/operator_page.cpp
@@ -166,14 +166,15 @@
   return out.dump(-1, ' ', false, json::error_handler_t::replace);
 }
 
-void OperatorPage::drain_instance(std::unique_ptr<Incoming> incoming, const std::string& id, bool drained) {
+void OperatorPage::drain_instance(std::unique_ptr<IncomingRequest> incoming, const std::string& id,
+                                  bool drained) {
   if (!monitor_.has(id)) return incoming->answer(404, {}, "no such box\n");
   if (!shared_operations_) {
     monitor_.drain(id, drained);
     return incoming->answer(204, {}, "");
   }
   // Applies it to all processes before answering, because another process may send requests to the instance.
-  const auto pending = std::make_shared<std::unique_ptr<Incoming>>(std::move(incoming));
+  const auto pending = std::make_shared<std::unique_ptr<IncomingRequest>>(std::move(incoming));
   shared_operations_->drain(id, drained, [this, pending, id, drained](bool written) {
     if (!written) {
       return (*pending)->answer(503, {{"Retry-After", "1"}}, "could not be written down; call again\n");
@@ -183,7 +184,7 @@
   });
 }
 
-void OperatorPage::handle(std::unique_ptr<Incoming> incoming) {
+void OperatorPage::handle(std::unique_ptr<IncomingRequest> incoming) {
   const std::string path = incoming->path();
   const std::string method = incoming->method();
   if (path == "/-/status" && method == "GET") {
--- a/src/net/appliance/operator_page.hpp
+++ b/src/net/appliance/operator_page.hpp
@@ -31,7 +31,7 @@
   };
   void share_operations(SharedOperations callbacks) { shared_operations_ = std::move(callbacks); }
 
-  void handle(std::unique_ptr<Incoming> incoming);
+  void handle(std::unique_ptr<IncomingRequest> incoming);
   // The process is shutting down, so that standing() is at best drain.
   void set_shutting_down() { shutting_down_ = true; }
   // The state for load balancers: down if no instance serves, drain if an operator drained the appliance or
@@ -43,7 +43,7 @@
   [[nodiscard]] std::string status() const;
   [[nodiscard]] std::string tenants() const;
   [[nodiscard]] std::string ledger(const std::string& key) const;
-  void drain_instance(std::unique_ptr<Incoming> incoming, const std::string& id, bool drained);
+  void drain_instance(std::unique_ptr<IncomingRequest> incoming, const std::string& id, bool drained);
 
   const core::Conductor& conductor_;
   const core::Scheduler& scheduler_;
--- a/src/net/http/http_connection.cpp
+++ b/src/net/http/http_connection.cpp
@@ -230,7 +230,7 @@
   close_after_response_ = !parser_.keep_alive() || !whole;
   chunked_ = !parser_.is_http_1_0();
   omit_body_ = parser_.method() == "HEAD";
-  server_.handler_(std::make_unique<Incoming>(
+  server_.handler_(std::make_unique<IncomingRequest>(
       *this, std::exchange(parser_, RequestParser(server_.limits_.most_body)), std::exchange(body_, {})));
 }
 
@@ -309,27 +309,27 @@
 // timeout.
 void HttpConnection::on_closed() { server_.close(*this); }
 
-// ---- Incoming ----
+// ---- IncomingRequest ----
 
-Incoming::Incoming(HttpConnection& connection, RequestParser head, std::string body)
+IncomingRequest::IncomingRequest(HttpConnection& connection, RequestParser head, std::string body)
     : connection_(&connection), head_(std::move(head)), body_(std::move(body)) {
   connection.incoming_ = this;
 }
 
-Incoming::~Incoming() {
+IncomingRequest::~IncomingRequest() {
   if (state_ == State::pending) answer(500, {}, "");
   if (state_ == State::streaming) abort();
 }
 
-HttpConnection& Incoming::detach() {
+HttpConnection& IncomingRequest::detach() {
   state_ = State::over;
   connection_->incoming_ = nullptr;
   return *connection_;
 }
 
-bool Incoming::client_closed() const { return state_ != State::over && connection_->client_closed(); }
+bool IncomingRequest::client_closed() const { return state_ != State::over && connection_->client_closed(); }
 
-bool Incoming::hold(std::size_t bytes) {
+bool IncomingRequest::hold(std::size_t bytes) {
   HttpServer& server = connection_->server_;
   if (server.body_bytes_ + bytes > server.limits_.body_bytes) return false;
   server.body_bytes_ += bytes;
@@ -337,7 +337,7 @@
   return true;
 }
 
-void Incoming::answer(int status, const Headers& headers, std::string_view body) {
+void IncomingRequest::answer(int status, const Headers& headers, std::string_view body) {
   if (state_ != State::pending) return;
   HttpConnection& connection = detach();
   const bool none = status == 204;
@@ -347,13 +347,13 @@
   connection.response_complete();
 }
 
-void Incoming::begin(int status, const Headers& headers) {
+void IncomingRequest::begin(int status, const Headers& headers) {
   if (state_ != State::pending) return;
   state_ = State::streaming;
   connection_->write_head(status, headers, connection_->chunked_ ? "Transfer-Encoding: chunked\r\n" : "");
 }
 
-void Incoming::chunk(std::string_view bytes) {
+void IncomingRequest::chunk(std::string_view bytes) {
   if (state_ != State::streaming || bytes.empty()) return;
   // Bounds memory: a client that does not read is disconnected.
   if (evbuffer_get_length(bufferevent_get_output(connection_->stream_.get())) > kMaxUnsentBytes)
@@ -366,7 +366,7 @@
   connection_->write("\r\n");
 }
 
-bool Incoming::wait_for_output_room(const std::function<void()>& room) {
+bool IncomingRequest::wait_for_output_room(const std::function<void()>& room) {
   if (state_ != State::streaming) return false;
   if (evbuffer_get_length(bufferevent_get_output(connection_->stream_.get())) <= kBackpressureBytes)
     return false;
@@ -374,14 +374,14 @@
   return true;
 }
 
-void Incoming::end() {
+void IncomingRequest::end() {
   if (state_ != State::streaming) return;
   HttpConnection& connection = detach();
   if (connection.chunked_) connection.write("0\r\n\r\n");
   connection.response_complete();
 }
 
-void Incoming::abort() {
+void IncomingRequest::abort() {
   if (state_ != State::streaming) return;
   HttpConnection& connection = detach();
   connection.close_after_response_ = true;
@@ -394,7 +394,7 @@
   connection.response_complete();
 }
 
-std::optional<core::HandoverState> Incoming::handover_state() const {
+std::optional<core::HandoverState> IncomingRequest::handover_state() const {
   if (state_ != State::streaming) return std::nullopt;
   bufferevent* stream = connection_->stream_.get();
   evbuffer* output = bufferevent_get_output(stream);
@@ -416,13 +416,13 @@
   return core::HandoverState{bufferevent_getfd(stream), std::move(text)};
 }
 
-void Incoming::detach_after_handover() {
+void IncomingRequest::detach_after_handover() {
   if (state_ != State::streaming) return;
   HttpConnection& connection = detach();
   connection.server_.close(connection);
 }
 
-std::unique_ptr<Incoming> HttpServer::take_over(const core::HandoverState& passed) {
+std::unique_ptr<IncomingRequest> HttpServer::take_over(const core::HandoverState& passed) {
   const nlohmann::json state = nlohmann::json::from_cbor(passed.state, true, false);
   const bool whole = state.is_object() && state.contains("chunked") && state["chunked"].is_boolean() &&
                      state.contains("last") && state["last"].is_boolean() && state.contains("unsent") &&
@@ -437,12 +437,12 @@
   const auto& unsent = state["unsent"].get_binary();
   connection.resume_stream(state["chunked"], state["last"],
                            {reinterpret_cast<const char*>(unsent.data()), unsent.size()});
-  auto incoming = std::make_unique<Incoming>(connection, RequestParser(limits_.most_body), "");
-  incoming->state_ = Incoming::State::streaming;
+  auto incoming = std::make_unique<IncomingRequest>(connection, RequestParser(limits_.most_body), "");
+  incoming->state_ = IncomingRequest::State::streaming;
   return incoming;
 }
 
-void Incoming::on_connection_lost() {
+void IncomingRequest::on_connection_lost() {
   const bool notify = state_ != State::over;
   detach();
   const std::function<void()> callback = std::move(on_gone_);
--- a/src/net/http/http_connection.hpp
+++ b/src/net/http/http_connection.hpp
@@ -38,7 +38,7 @@
   void resume_stream(bool chunked, bool last, std::string_view unsent);
 
  private:
-  friend class Incoming;
+  friend class IncomingRequest;
   void on_readable();
   void on_output_drained();
   void on_closed();
@@ -57,7 +57,7 @@
   RequestParser parser_;
   std::string body_;
   std::size_t counted_body_bytes_ = 0;  // body bytes included in HttpServer::body_bytes_
-  Incoming* incoming_ = nullptr;
+  IncomingRequest* incoming_ = nullptr;
   Phase phase_ = Phase::silent;
   core::Time phase_start_;  // start of the phase; for the first request, reading counts from accept
   bool close_after_response_ = false;
--- a/src/net/http/http_reply.hpp
+++ b/src/net/http/http_reply.hpp
@@ -15,7 +15,7 @@
 
 class HttpReply : public core::ClientReply {
  public:
-  explicit HttpReply(std::unique_ptr<Incoming> incoming) : incoming_(std::move(incoming)) {}
+  explicit HttpReply(std::unique_ptr<IncomingRequest> incoming) : incoming_(std::move(incoming)) {}
 
   [[nodiscard]] bool client_closed() const override { return incoming_->client_closed(); }
   void refuse(const core::Ending& ending) override;
@@ -30,7 +30,7 @@
   void abort(const core::Ending&) override { incoming_->abort(); }
 
  protected:
-  std::unique_ptr<Incoming> incoming_;
+  std::unique_ptr<IncomingRequest> incoming_;
 };
 
 }  // namespace bankmux::net
--- a/src/net/http/http_server.hpp
+++ b/src/net/http/http_server.hpp
@@ -24,12 +24,12 @@
 
 // A client's request and the means to answer it. Destruction before an answer sends 500; destruction during a
 // stream breaks the stream off.
-class Incoming {
+class IncomingRequest {
  public:
-  Incoming(HttpConnection& connection, RequestParser head, std::string body);
-  ~Incoming();
-  Incoming(const Incoming&) = delete;
-  Incoming& operator=(const Incoming&) = delete;
+  IncomingRequest(HttpConnection& connection, RequestParser head, std::string body);
+  ~IncomingRequest();
+  IncomingRequest(const IncomingRequest&) = delete;
+  IncomingRequest& operator=(const IncomingRequest&) = delete;
 
   [[nodiscard]] const std::string& method() const { return head_.method(); }
   // As received, including the query.
@@ -110,7 +110,7 @@
 // Accepts connections and passes each complete request to `handler`. Not thread-safe; runs on its loop.
 class HttpServer {
  public:
-  using Handler = std::function<void(std::unique_ptr<Incoming>)>;
+  using Handler = std::function<void(std::unique_ptr<IncomingRequest>)>;
 
   // Starts listening, at an address or on a descriptor that already listens. Throws std::runtime_error on
   // failure.
@@ -128,7 +128,7 @@
   [[nodiscard]] bool stop_listening();
   // Continues a client's response stream from another process; takes ownership of the descriptor. Null if the
   // state is malformed.
-  [[nodiscard]] std::unique_ptr<Incoming> take_over(const core::HandoverState& passed);
+  [[nodiscard]] std::unique_ptr<IncomingRequest> take_over(const core::HandoverState& passed);
   [[nodiscard]] bool winding_down() const { return winding_down_; }
   // Closes connections without a pending request; those that never sent one only at an age of at least
   // `silent`.
@@ -137,7 +137,7 @@
 
  private:
   friend class HttpConnection;
-  friend class Incoming;
+  friend class IncomingRequest;
   void accept(evutil_socket_t socket);
   [[nodiscard]] bool accept_pending();
   // Above 3/4 of the limit, connections are not kept after their response.
--- a/src/net/openai/front.cpp
+++ b/src/net/openai/front.cpp
@@ -109,7 +109,7 @@
 }
 
 // The headers of every answer: the request id, and CORS headers if the origin is allowed.
-Headers OpenAiFront::common(const Incoming& incoming) {
+Headers OpenAiFront::common(const IncomingRequest& incoming) {
   const std::string given = incoming.header("X-Request-Id");
   Headers headers{{"x-request-id", valid_request_id(given) ? given : new_request_id()}};
   const std::string origin = incoming.header("Origin");
@@ -127,7 +127,7 @@
   return headers;
 }
 
-void OpenAiFront::answer(Incoming& incoming, const Headers& common, int status, std::string_view body,
+void OpenAiFront::answer(IncomingRequest& incoming, const Headers& common, int status, std::string_view body,
                          const Headers& more, std::optional<core::Duration> wait) {
   Headers headers = common;
   if (!body.empty()) headers.emplace_back("Content-Type", body.front() == '{' ? kJson : "text/plain");
@@ -138,7 +138,7 @@
   incoming.answer(status, headers, body);
 }
 
-void OpenAiFront::reject(Incoming& incoming, const Headers& common, const RequestError& problem,
+void OpenAiFront::reject(IncomingRequest& incoming, const Headers& common, const RequestError& problem,
                          const Headers& more, std::optional<core::Duration> wait) {
   const std::string message =
       problem.param.empty() ? problem.message : "'" + problem.param + "' " + problem.message;
@@ -150,7 +150,7 @@
          more, wait);
 }
 
-void OpenAiFront::options(Incoming& incoming, const Headers& common, const std::string& allowed) {
+void OpenAiFront::options(IncomingRequest& incoming, const Headers& common, const std::string& allowed) {
   Headers more{{"Allow", allowed}};
   // CORS preflight. If the origin is not allowed, common() has added no CORS header and none is added here.
   if (!incoming.header("Access-Control-Request-Method").empty() && common.size() > 1) {
@@ -163,7 +163,7 @@
   answer(incoming, common, 204, "", more);
 }
 
-void OpenAiFront::models(Incoming& incoming, const Headers& common, const std::string& path,
+void OpenAiFront::models(IncomingRequest& incoming, const Headers& common, const std::string& path,
                          const admission::Caller& caller) const {
   const auto may_use = [&](const config::Model& model) {
     return admission::Door::may_use(caller, model.name);
@@ -181,7 +181,7 @@
   reject(incoming, common, {"names no model that is offered here", "model", 404, "model_not_found"});
 }
 
-void OpenAiFront::handle(std::unique_ptr<Incoming> incoming) {
+void OpenAiFront::handle(std::unique_ptr<IncomingRequest> incoming) {
   const std::string path = incoming->path();
   Headers common = this->common(*incoming);
   const std::string& method = incoming->method();
@@ -212,7 +212,7 @@
   answer(*incoming, common, healthy ? 200 : 503, healthy ? "ok\n" : "not serving\n");
 }
 
-std::optional<admission::Caller> OpenAiFront::identify(Incoming& incoming, const Headers& common) {
+std::optional<admission::Caller> OpenAiFront::identify(IncomingRequest& incoming, const Headers& common) {
   const std::string credentials = incoming.header("Authorization");
   const auto caller = door_.identify(bearer(credentials));
   if (caller) return caller;
@@ -225,7 +225,7 @@
   return std::nullopt;
 }
 
-std::optional<admission::Ticket> OpenAiFront::admit(Incoming& incoming, Headers& common,
+std::optional<admission::Ticket> OpenAiFront::admit(IncomingRequest& incoming, Headers& common,
                                                     const PreparedRequest& prepared,
                                                     const admission::Caller& caller) {
   if (!admission::Door::may_use(caller, prepared.model)) {
@@ -282,7 +282,7 @@
   return std::nullopt;
 }
 
-OpenAiFront::PreparedRequest OpenAiFront::prepare(Incoming& incoming, Endpoint endpoint,
+OpenAiFront::PreparedRequest OpenAiFront::prepare(IncomingRequest& incoming, Endpoint endpoint,
                                                   const std::string& id) const {
   const auto codings = std::ranges::count_if(
       incoming.headers(), [](const auto& header) { return same_name(header.first, "Content-Encoding"); });
@@ -348,7 +348,7 @@
   return prepared;
 }
 
-void OpenAiFront::post(std::unique_ptr<Incoming> incoming, Endpoint endpoint, Headers common,
+void OpenAiFront::post(std::unique_ptr<IncomingRequest> incoming, Endpoint endpoint, Headers common,
                        const admission::Caller& caller) {
   auto payload = std::make_shared<core::Payload>();
   payload->id = common.front().second;
@@ -374,7 +374,7 @@
   core::ClientRequest ask{prepared.facts.arrived, payload, payload->id};
   ask.facts.tenant = appliance_.tenant_number(ticket->tenant);
   ask.facts.deadline = scheduler_.now() + prepared.facts.patience;
-  Incoming& client = *incoming;
+  IncomingRequest& client = *incoming;
   std::optional<recovery::StreamRecovery> recovery;
   const core::PayloadPtr original_request = ask.payload;
   // Only streams in the formats of /v1/chat/completions and /v1/completions can be recovered.
--- a/src/net/openai/front.hpp
+++ b/src/net/openai/front.hpp
@@ -21,7 +21,7 @@
   OpenAiFront(core::Conductor& conductor, core::Scheduler& scheduler, admission::Door& door,
               const config::Appliance& appliance, std::function<bool()> healthy);
 
-  void handle(std::unique_ptr<Incoming> incoming);
+  void handle(std::unique_ptr<IncomingRequest> incoming);
   // For the HTTP server that calls handle().
   [[nodiscard]] ServerHooks hooks();
 
@@ -29,26 +29,27 @@
   enum class Endpoint { chat, completions, responses };
   struct PreparedRequest;
 
-  void post(std::unique_ptr<Incoming> incoming, Endpoint endpoint, Headers common,
+  void post(std::unique_ptr<IncomingRequest> incoming, Endpoint endpoint, Headers common,
             const admission::Caller& caller);
   // Decompresses, validates and translates the body for an instance; throws RequestError.
-  [[nodiscard]] PreparedRequest prepare(Incoming& incoming, Endpoint endpoint, const std::string& id) const;
+  [[nodiscard]] PreparedRequest prepare(IncomingRequest& incoming, Endpoint endpoint,
+                                        const std::string& id) const;
   // `common`: the headers of every answer to this request. `wait`: time after which a retry may help, if that
   // does not follow from the status.
-  static void answer(Incoming& incoming, const Headers& common, int status, std::string_view body,
+  static void answer(IncomingRequest& incoming, const Headers& common, int status, std::string_view body,
                      const Headers& more = {}, std::optional<core::Duration> wait = {});
-  static void reject(Incoming& incoming, const Headers& common, const openai::RequestError& problem,
+  static void reject(IncomingRequest& incoming, const Headers& common, const openai::RequestError& problem,
                      const Headers& more = {}, std::optional<core::Duration> wait = {});
-  [[nodiscard]] Headers common(const Incoming& incoming);
+  [[nodiscard]] Headers common(const IncomingRequest& incoming);
   [[nodiscard]] std::string new_request_id();
   // Authenticates the client; nullopt if the request was rejected and answered.
-  std::optional<admission::Caller> identify(Incoming& incoming, const Headers& common);
+  std::optional<admission::Caller> identify(IncomingRequest& incoming, const Headers& common);
   // Applies admission control; nullopt if the request has been answered.
-  std::optional<admission::Ticket> admit(Incoming& incoming, Headers& common, const PreparedRequest& prepared,
-                                         const admission::Caller& caller);
-  void models(Incoming& incoming, const Headers& common, const std::string& path,
+  std::optional<admission::Ticket> admit(IncomingRequest& incoming, Headers& common,
+                                         const PreparedRequest& prepared, const admission::Caller& caller);
+  void models(IncomingRequest& incoming, const Headers& common, const std::string& path,
               const admission::Caller& caller) const;
-  static void options(Incoming& incoming, const Headers& common, const std::string& allowed);
+  static void options(IncomingRequest& incoming, const Headers& common, const std::string& allowed);
 
   core::Conductor& conductor_;
   core::Scheduler& scheduler_;
--- a/src/net/openai/reply.cpp
+++ b/src/net/openai/reply.cpp
@@ -16,7 +16,7 @@
 
 }  // namespace
 
-Reply::Reply(std::unique_ptr<Incoming> incoming, core::Scheduler& scheduler, ReplyOptions options)
+Reply::Reply(std::unique_ptr<IncomingRequest> incoming, core::Scheduler& scheduler, ReplyOptions options)
     : HttpReply(std::move(incoming)), scheduler_(scheduler), options_(std::move(options)) {
   if (options_.streamed && options_.keep_alive.count() > 0) {
     keep_alive_timer_ = scheduler_.at(scheduler_.now() + options_.keep_alive, [this] { keep_alive(); });
--- a/src/net/openai/reply.hpp
+++ b/src/net/openai/reply.hpp
@@ -25,7 +25,7 @@
 
 class Reply : public HttpReply {
  public:
-  Reply(std::unique_ptr<Incoming> incoming, core::Scheduler& scheduler, ReplyOptions options);
+  Reply(std::unique_ptr<IncomingRequest> incoming, core::Scheduler& scheduler, ReplyOptions options);
 
   void on_sending() override { options_.account->on_sending(); }
   void on_not_executed() override { options_.account->on_not_executed(); }
--- a/src/net/platform/management_page.cpp
+++ b/src/net/platform/management_page.cpp
@@ -38,7 +38,7 @@
   return text;
 }
 
-void ManagementPage::instance_call(Incoming& incoming, const std::string& path) const {
+void ManagementPage::instance_call(IncomingRequest& incoming, const std::string& path) const {
   const std::size_t slash = path.rfind('/');
   const std::string command = path.substr(slash + 1);
   if (slash <= kInstances.size() || (command != "disable" && command != "enable")) {
@@ -54,7 +54,7 @@
   incoming.answer(200, {}, command == "disable" ? "out of rotation\n" : "may serve again\n");
 }
 
-void ManagementPage::handle(std::unique_ptr<Incoming> incoming) const {
+void ManagementPage::handle(std::unique_ptr<IncomingRequest> incoming) const {
   const std::string path = incoming->path();
   if (path.starts_with(kInstances)) return instance_call(*incoming, path);
   const bool is_command = path == "/-/drain" || path == "/-/resume";
--- a/src/net/platform/management_page.hpp
+++ b/src/net/platform/management_page.hpp
@@ -25,11 +25,11 @@
   ManagementPage(const core::Conductor& conductor, std::vector<std::string> classes, Actions actions)
       : conductor_(conductor), classes_(std::move(classes)), actions_(std::move(actions)) {}
 
-  void handle(std::unique_ptr<Incoming> incoming) const;
+  void handle(std::unique_ptr<IncomingRequest> incoming) const;
 
  private:
   [[nodiscard]] std::string metrics() const;
-  void instance_call(Incoming& incoming, const std::string& path) const;
+  void instance_call(IncomingRequest& incoming, const std::string& path) const;
 
   const core::Conductor& conductor_;
   std::vector<std::string> classes_;
--- a/src/net/platform/platform_front.cpp
+++ b/src/net/platform/platform_front.cpp
@@ -33,7 +33,7 @@
   return value;
 }
 
-std::string required_header(const Incoming& incoming, const char* name) {
+std::string required_header(const IncomingRequest& incoming, const char* name) {
   std::string value = incoming.header(name);
   const auto count =
       std::ranges::count_if(incoming.headers(), [name](const auto& h) { return same_name(h.first, name); });
@@ -44,7 +44,7 @@
 }
 
 // The id becomes part of a path at the instances.
-std::string request_id(const Incoming& incoming) {
+std::string request_id(const IncomingRequest& incoming) {
   std::string value = required_header(incoming, "X-Txn");
   const bool valid = std::ranges::all_of(
       value, [](unsigned char c) { return std::isalnum(c) || c == '-' || c == '_' || c == '.'; });
@@ -75,7 +75,8 @@
   if (!prompt_length_seen) throw BadHeader{"X-Labels lacks prompt_len"};
 }
 
-core::ClientRequest parse_request(Incoming& incoming, core::Time now, const std::vector<std::string>& classes,
+core::ClientRequest parse_request(IncomingRequest& incoming, core::Time now,
+                                  const std::vector<std::string>& classes,
                                   const std::vector<std::string>& tenants) {
   core::ClientRequest ask;
   auto payload = std::make_shared<core::Payload>();
@@ -107,7 +108,7 @@
 // Frees the request's id once the final answer is sent.
 class PlatformReply : public HttpReply {
  public:
-  PlatformReply(std::unique_ptr<Incoming> incoming, PlatformFront::OpenIds open, std::string name)
+  PlatformReply(std::unique_ptr<IncomingRequest> incoming, PlatformFront::OpenIds open, std::string name)
       : HttpReply(std::move(incoming)), open_ids_(std::move(open)), name_(std::move(name)) {}
   ~PlatformReply() override { open_ids_->erase(name_); }
   // A stream of the platform protocol needs no state but its bytes to be continued.
@@ -123,7 +124,7 @@
 
 }  // namespace
 
-void PlatformFront::handle(std::unique_ptr<Incoming> incoming) {
+void PlatformFront::handle(std::unique_ptr<IncomingRequest> incoming) {
   const std::string path = incoming->path();
   if (path == "/-/ready" || path == "/-/healthy") {
     incoming->answer(ready_ ? 200 : 503, {}, ready_ ? "ready\n" : "going down\n");
@@ -150,7 +151,7 @@
     incoming->answer(409, {}, "a request with this X-Txn is open\n");
     return;
   }
-  Incoming& client = *incoming;
+  IncomingRequest& client = *incoming;
   const core::RequestId id = conductor_.accept(
       std::move(ask), std::make_unique<PlatformReply>(std::move(incoming), open_ids_, name));
   if (id != 0) client.on_gone([this, id] { conductor_.client_gone(id); });
@@ -158,7 +159,7 @@
 
 void PlatformFront::take_over(const std::string& name, core::RunningStream stream, HttpServer& clients,
                               const core::Conductor::MakeAttempt& make) {
-  std::unique_ptr<Incoming> incoming = clients.take_over(stream.client);
+  std::unique_ptr<IncomingRequest> incoming = clients.take_over(stream.client);
   if (incoming == nullptr || stream.client_request.facts.request_class >= classes_.size() ||
       !open_ids_->insert(name).second) {
     // Nothing else owns the instance's descriptor yet, so it is closed here.
--- a/src/net/platform/platform_front.hpp
+++ b/src/net/platform/platform_front.hpp
@@ -23,7 +23,7 @@
         classes_(std::move(classes)),
         tenants_(std::move(tenants)) {}
 
-  void handle(std::unique_ptr<Incoming> incoming);
+  void handle(std::unique_ptr<IncomingRequest> incoming);
   // Continues a stream that another process of this conductor began, under the request's id; takes ownership
   // of both descriptors. Closes both if the client state is malformed or the id is already open here.
   void take_over(const std::string& name, core::RunningStream stream, HttpServer& clients,
--- a/tests/handover_test.cpp
+++ b/tests/handover_test.cpp
@@ -106,11 +106,11 @@
 // the client could not read the answer.
 TEST_CASE("Unsent output of a client is handed over with its connection, response head included") {
   net::Loop loop;
-  std::unique_ptr<net::Incoming> taken_over;
-  net::HttpServer next(loop, stories::own_address(), [](std::unique_ptr<net::Incoming>) {}, {});
+  std::unique_ptr<net::IncomingRequest> taken_over;
+  net::HttpServer next(loop, stories::own_address(), [](std::unique_ptr<net::IncomingRequest>) {}, {});
   const std::string address = stories::own_address();
   net::HttpServer server(loop, address,
-                         [&](std::unique_ptr<net::Incoming> incoming) {
+                         [&](std::unique_ptr<net::IncomingRequest> incoming) {
                            incoming->begin(200, {{"Content-Type", "text/event-stream"}});
                            incoming->chunk("data: 1\n\n");
                            auto passed = incoming->handover_state();
--- a/tests/stories/accept_failure_test.cpp
+++ b/tests/stories/accept_failure_test.cpp
@@ -55,9 +55,9 @@
 struct TestServer {
   net::Loop loop;
   std::string address = own_address();
-  net::HttpServer server{loop, address,
-                         [](std::unique_ptr<net::Incoming> incoming) { incoming->answer(200, {}, "ok"); },
-                         net::ServerLimits{}};
+  net::HttpServer server{
+      loop, address, [](std::unique_ptr<net::IncomingRequest> incoming) { incoming->answer(200, {}, "ok"); },
+      net::ServerLimits{}};
   std::vector<std::unique_ptr<Wire>> clients;
 
   void ask() {
--- a/tests/stories/evhttp_stories.cpp
+++ b/tests/stories/evhttp_stories.cpp
@@ -77,12 +77,12 @@
 
 TEST_CASE("HttpServer notices at once that a client has closed") {
   net::Loop loop;
-  std::unique_ptr<net::Incoming> pending;
+  std::unique_ptr<net::IncomingRequest> pending;
   bool gone = false;
   const std::string address = own_address();
   net::HttpServer server(
       loop, address,
-      [&](std::unique_ptr<net::Incoming> incoming) {
+      [&](std::unique_ptr<net::IncomingRequest> incoming) {
         pending = std::move(incoming);
         pending->on_gone([&] {
           gone = true;
--- a/tests/stories/held_up_stories.cpp
+++ b/tests/stories/held_up_stories.cpp
@@ -116,7 +116,7 @@
   net::Loop loop;
   const std::string address = own_address();
   net::HttpServer server(
-      loop, address, [](std::unique_ptr<net::Incoming> incoming) { incoming->answer(200, {}, "ok"); },
+      loop, address, [](std::unique_ptr<net::IncomingRequest> incoming) { incoming->answer(200, {}, "ok"); },
       net::ServerLimits{});
   std::vector<std::unique_ptr<Wire>> clients;
   for (int i = 0; i < kClients; ++i) clients.push_back(Wire::to(address));
@@ -179,10 +179,10 @@
 TEST_CASE("Server: a client's close is detected through the kernel before the loop has reported it") {
   net::Loop loop;
   const std::string address = own_address();
-  std::unique_ptr<net::Incoming> request;
+  std::unique_ptr<net::IncomingRequest> request;
   net::HttpServer server(
       loop, address,
-      [&](std::unique_ptr<net::Incoming> incoming) {
+      [&](std::unique_ptr<net::IncomingRequest> incoming) {
         request = std::move(incoming);
         loop.stop();
       },
