--- a/src/app/serve.cpp
+++ b/src/app/serve.cpp
@@ -98,9 +98,9 @@
 net::ServerLimits chat_limits(net::ServerLimits limits, const config::Appliance& appliance) {
   limits.most_body = appliance.most_body;
   limits.least_upload_rate = kMinUploadRate;
-  limits.most_thrown_away = kDiscardedBodies * appliance.most_body;
-  limits.throw_away_for = kDiscardTime;
-  limits.throw_away_rate = kDiscardRate;
+  limits.max_discarded_bytes = kDiscardedBodies * appliance.most_body;
+  limits.discard_time = kDiscardTime;
+  limits.discard_bytes_per_s = kDiscardRate;
   return limits;
 }
 
--- a/src/net/http/http_connection.cpp
+++ b/src/net/http/http_connection.cpp
@@ -31,7 +31,7 @@
 constexpr core::Duration kRequestTimeout = 2500ms;
 constexpr core::Duration kIdleTimeout = 60s;
 constexpr timeval kWriteTimeout{10, 0};  // for a client that does not read its response
-// How long to wait for the client's close after the last response, see ServerLimits::most_thrown_away.
+// How long to wait for the client's close after the last response, see ServerLimits::max_discarded_bytes.
 constexpr core::Duration kLingerTimeout = 500ms;
 constexpr core::Duration kLingerTimeoutAtShutdown = 100ms;  // the same during shutdown; a few round trips
 
@@ -189,8 +189,8 @@
     evbuffer_drain(input, evbuffer_get_length(input));
     const core::Time now = server_.loop_.now();
     // A client that is still sending reads the response only after it has finished.
-    if (now - closing_start_ < limits.throw_away_for) phase_start_ = now;
-    if (discarded_bytes_ > limits.most_thrown_away) bufferevent_disable(stream_.get(), EV_READ);
+    if (now - closing_start_ < limits.discard_time) phase_start_ = now;
+    if (discarded_bytes_ > limits.max_discarded_bytes) bufferevent_disable(stream_.get(), EV_READ);
     return;
   }
   // Input that arrives while a response is pending stays buffered, up to the read watermark. At the
@@ -201,7 +201,7 @@
     close_after_response_ = true;
     discarded_bytes_ += evbuffer_get_length(input);
     evbuffer_drain(input, evbuffer_get_length(input));
-    if (discarded_bytes_ > server_.limits_.most_thrown_away) server_.close(*this);
+    if (discarded_bytes_ > server_.limits_.max_discarded_bytes) server_.close(*this);
     return;
   }
   if (evbuffer_get_length(input) == 0) return;
@@ -285,7 +285,7 @@
 void HttpConnection::start_closing() {
   enter_phase(Phase::ending);
   closing_start_ = phase_start_;
-  if (server_.throw_away_rate_) bufferevent_set_rate_limit(stream_.get(), server_.throw_away_rate_.get());
+  if (server_.discard_rate_) bufferevent_set_rate_limit(stream_.get(), server_.discard_rate_.get());
   if (evbuffer_get_length(bufferevent_get_output(stream_.get())) == 0) {
     if (!reset_on_close_) shutdown(bufferevent_getfd(stream_.get()), SHUT_WR);
     bufferevent_trigger(stream_.get(), EV_WRITE, BEV_TRIG_IGNORE_WATERMARKS | BEV_TRIG_DEFER_CALLBACKS);
--- a/src/net/http/http_server.cpp
+++ b/src/net/http/http_server.cpp
@@ -44,10 +44,9 @@
       limits_(limits),
       hooks_(std::move(hooks)),
       own_socket_(std::holds_alternative<std::string>(place)) {
-  if (limits_.throw_away_rate > 0) {
-    const std::size_t rate = limits_.throw_away_rate;
-    throw_away_rate_.reset(
-        ev_token_bucket_cfg_new(rate, rate, EV_RATE_LIMIT_MAX, EV_RATE_LIMIT_MAX, nullptr));
+  if (limits_.discard_bytes_per_s > 0) {
+    const std::size_t rate = limits_.discard_bytes_per_s;
+    discard_rate_.reset(ev_token_bucket_cfg_new(rate, rate, EV_RATE_LIMIT_MAX, EV_RATE_LIMIT_MAX, nullptr));
   }
   const evconnlistener_cb accepted = [](evconnlistener*, evutil_socket_t socket, sockaddr*, int, void* self) {
     guarded("server", [=] { static_cast<HttpServer*>(self)->accept(socket); });
--- a/src/net/http/http_server.hpp
+++ b/src/net/http/http_server.hpp
@@ -91,9 +91,9 @@
   // After the last response on a connection, further input is read and discarded, because closing a socket
   // with unread input would destroy the response in transit. Limits: total bytes, time while bytes keep
   // arriving, and bytes per second (0: no limit).
-  std::size_t most_thrown_away = 512 * 1024;
-  core::Duration throw_away_for{0};
-  std::size_t throw_away_rate = 0;
+  std::size_t max_discarded_bytes = 512 * 1024;
+  core::Duration discard_time{0};
+  std::size_t discard_bytes_per_s = 0;
   // Answer 400 for every malformed or oversized request, for clients that do not distinguish error statuses.
   bool one_fault = false;
 };
@@ -153,7 +153,7 @@
   Handler handler_;
   ServerLimits limits_;
   ServerHooks hooks_;
-  std::unique_ptr<ev_token_bucket_cfg, Freed<ev_token_bucket_cfg_free>> throw_away_rate_;
+  std::unique_ptr<ev_token_bucket_cfg, Freed<ev_token_bucket_cfg_free>> discard_rate_;
   bool own_socket_;
   bool winding_down_ = false;
   std::size_t body_bytes_ = 0;
