--- a/src/app/serve.cpp
+++ b/src/app/serve.cpp
@@ -97,7 +97,7 @@
 // 413 only after sending all of it, so that the rest is read and discarded.
 net::ServerLimits chat_limits(net::ServerLimits limits, const config::Appliance& appliance) {
   limits.most_body = appliance.most_body;
-  limits.least_upload_rate = kMinUploadRate;
+  limits.min_upload_bytes_per_s = kMinUploadRate;
   limits.max_discarded_bytes = kDiscardedBodies * appliance.most_body;
   limits.discard_time = kDiscardTime;
   limits.discard_bytes_per_s = kDiscardRate;
--- a/src/net/http/http_connection.cpp
+++ b/src/net/http/http_connection.cpp
@@ -133,7 +133,7 @@
       // Unread input arrived in time; a delayed loop has not yet reported it.
       return age(now) >= kRequestTimeout && has_no_unread_input();
     case Phase::reading: {
-      const std::size_t rate = server_.limits_.least_upload_rate;
+      const std::size_t rate = server_.limits_.min_upload_bytes_per_s;
       const auto more = rate > 0 ? core::Duration(counted_body_bytes_ * 1'000'000 / rate) : core::Duration{0};
       return age(now) >= kRequestTimeout + more;
     }
--- a/src/net/http/http_server.hpp
+++ b/src/net/http/http_server.hpp
@@ -87,7 +87,7 @@
   std::size_t most_body = RequestParser::kMostBody;  // bytes of a single request body
   // Minimum upload rate, in bytes per second, that earns a body more than the usual request time; 0: no extra
   // time.
-  std::size_t least_upload_rate = 0;
+  std::size_t min_upload_bytes_per_s = 0;
   // After the last response on a connection, further input is read and discarded, because closing a socket
   // with unread input would destroy the response in transit. Limits: total bytes, time while bytes keep
   // arriving, and bytes per second (0: no limit).
