--- a/src/app/operations.cpp
+++ b/src/app/operations.cpp
@@ -36,7 +36,7 @@
              [this](const std::string& id, bool out_of_rotation) { return maintain(id, out_of_rotation); }}),
       server_(loop, config.mgmt,
               [this](std::unique_ptr<net::IncomingRequest> incoming) { page_.handle(std::move(incoming)); },
-              {.connections = kMaxConnections, .body_bytes = kMaxBodyBytes, .one_fault = true}) {
+              {.connections = kMaxConnections, .body_bytes = kMaxBodyBytes, .single_error_status = true}) {
   server_.wind_down();  // one call per connection
   load_file();
   poll();
--- a/src/net/http/http_connection.cpp
+++ b/src/net/http/http_connection.cpp
@@ -239,7 +239,7 @@
   phase_ = Phase::answering;
   close_after_response_ = true;
   body_ = {};
-  if (server_.limits_.one_fault && status != 503) status = 400;
+  if (server_.limits_.single_error_status && status != 503) status = 400;
   std::string text = std::string(reason_phrase(status)) + "\n";
   if (server_.hooks_.error) {
     auto [headers, body] = server_.hooks_.error(status);
--- a/src/net/http/http_server.hpp
+++ b/src/net/http/http_server.hpp
@@ -95,7 +95,7 @@
   core::Duration discard_time{0};
   std::size_t discard_bytes_per_s = 0;
   // Answer 400 for every malformed or oversized request, for clients that do not distinguish error statuses.
-  bool one_fault = false;
+  bool single_error_status = false;
 };
 
 // Extension points for a front. Either function may be empty.
