--- a/src/app/serve.cpp
+++ b/src/app/serve.cpp
@@ -96,9 +96,9 @@
 // Allows for bodies of megabytes, which take time to upload. A client that sends too large a body reads its
 // 413 only after sending all of it, so that the rest is read and discarded.
 net::ServerLimits chat_limits(net::ServerLimits limits, const config::Appliance& appliance) {
-  limits.most_body = appliance.most_body;
+  limits.max_body_bytes = appliance.max_body_bytes;
   limits.min_upload_bytes_per_s = kMinUploadRate;
-  limits.max_discarded_bytes = kDiscardedBodies * appliance.most_body;
+  limits.max_discarded_bytes = kDiscardedBodies * appliance.max_body_bytes;
   limits.discard_time = kDiscardTime;
   limits.discard_bytes_per_s = kDiscardRate;
   return limits;
--- a/src/config/appliance.cpp
+++ b/src/config/appliance.cpp
@@ -139,10 +139,10 @@
   a.idle_timeout = f.seconds("idle_timeout_s", a.idle_timeout);
   a.sockets = f.count("sockets", a.sockets, 64, 1'000'000);
   a.memory_mb = f.count("memory_mb", a.memory_mb, 32, 1'000'000);
-  const double max_body_mib = f.number("max_body_mib", double(a.most_body) / kMib, 0.25, 64.0);
-  a.most_body = std::size_t(max_body_mib * kMib);
+  const double max_body_mib = f.number("max_body_mib", double(a.max_body_bytes) / kMib, 0.25, 64.0);
+  a.max_body_bytes = std::size_t(max_body_mib * kMib);
   // All request bodies together may use a fifth of the memory; a single one must fit.
-  if (a.most_body > std::size_t(double(a.memory_mb) * kMib) / 5) {
+  if (a.max_body_bytes > std::size_t(double(a.memory_mb) * kMib) / 5) {
     f.fail("max_body_mib", "must not exceed a fifth of 'memory_mb'");
   }
   a.seam = f.seconds("seam_s", a.seam);
--- a/src/config/appliance.hpp
+++ b/src/config/appliance.hpp
@@ -47,7 +47,7 @@
   core::Duration check_every{2'000'000};   // interval between health checks of an instance
   core::Duration connect_timeout{250'000};
   core::Duration idle_timeout{15'000'000};
-  std::size_t most_body = 8 * 1024 * 1024;  // bytes of one request's body, decompressed
+  std::size_t max_body_bytes = 8 * 1024 * 1024;  // bytes of one request's body, decompressed
   core::Duration seam{3'000'000};       // how long a client waits while another instance continues its answer
   core::Duration stream_keep_alive{0};  // interval of SSE comments before the first token; 0: none
   std::vector<std::string> cors_origins;            // origins allowed by CORS; "*": all
--- a/src/net/http/http_connection.cpp
+++ b/src/net/http/http_connection.cpp
@@ -91,7 +91,7 @@
 HttpConnection::HttpConnection(HttpServer& server, evutil_socket_t socket)
     : server_(server),
       stream_(bufferevent_socket_new(server.loop_.base(), socket, BEV_OPT_CLOSE_ON_FREE)),
-      parser_(server.limits_.most_body),
+      parser_(server.limits_.max_body_bytes),
       phase_start_(server.loop_.now()) {
   if (!stream_) {
     evutil_closesocket(socket);
@@ -231,7 +231,8 @@
   chunked_ = !parser_.is_http_1_0();
   omit_body_ = parser_.method() == "HEAD";
   server_.handler_(std::make_unique<IncomingRequest>(
-      *this, std::exchange(parser_, RequestParser(server_.limits_.most_body)), std::exchange(body_, {})));
+      *this, std::exchange(parser_, RequestParser(server_.limits_.max_body_bytes)),
+      std::exchange(body_, {})));
 }
 
 // Answers a request that is not passed to the handler, with an error of the server.
@@ -437,7 +438,7 @@
   const auto& unsent = state["unsent"].get_binary();
   connection.resume_stream(state["chunked"], state["last"],
                            {reinterpret_cast<const char*>(unsent.data()), unsent.size()});
-  auto incoming = std::make_unique<IncomingRequest>(connection, RequestParser(limits_.most_body), "");
+  auto incoming = std::make_unique<IncomingRequest>(connection, RequestParser(limits_.max_body_bytes), "");
   incoming->state_ = IncomingRequest::State::streaming;
   return incoming;
 }
--- a/src/net/openai/front.cpp
+++ b/src/net/openai/front.cpp
@@ -289,7 +289,8 @@
   if (codings > 1) throw RequestError{"Content-Encoding is there twice", "", 415, "unsupported_encoding"};
   std::string coded = incoming.take_body();
   const std::size_t before = coded.size();
-  Expanded expanded = expand(incoming.header("Content-Encoding"), std::move(coded), appliance_.most_body);
+  Expanded expanded =
+      expand(incoming.header("Content-Encoding"), std::move(coded), appliance_.max_body_bytes);
   switch (expanded.coding) {
     case Coding::done:
       break;
