--- a/src/app/serve.cpp
+++ b/src/app/serve.cpp
@@ -228,7 +228,7 @@
     operator_server.emplace(
         loop, appliance.operator_listen,
         [&](std::unique_ptr<net::IncomingRequest> incoming) { page.handle(std::move(incoming)); },
-        net::ServerLimits{kOperatorConnections, kOperatorConnections * net::RequestParser::kMostBody});
+        net::ServerLimits{kOperatorConnections, kOperatorConnections * net::RequestParser::kMaxBodyBytes});
     servers.push_back(&*operator_server);
   }
   std::optional<net::AgentCheck> agent;
--- a/src/net/http/http_server.hpp
+++ b/src/net/http/http_server.hpp
@@ -82,9 +82,9 @@
 
 // Limits on the resources that clients can use.
 struct ServerLimits {
-  std::size_t connections = 300;                          // open at once
-  std::size_t body_bytes = 32 * 1024 * 1024;              // total of all request bodies held at once
-  std::size_t max_body_bytes = RequestParser::kMostBody;  // bytes of a single request body
+  std::size_t connections = 300;                              // open at once
+  std::size_t body_bytes = 32 * 1024 * 1024;                  // total of all request bodies held at once
+  std::size_t max_body_bytes = RequestParser::kMaxBodyBytes;  // bytes of a single request body
   // Minimum upload rate, in bytes per second, that earns a body more than the usual request time; 0: no extra
   // time.
   std::size_t min_upload_bytes_per_s = 0;
--- a/src/net/http/request_parser.hpp
+++ b/src/net/http/request_parser.hpp
@@ -7,10 +7,10 @@
 
 class RequestParser : public MessageParser {
  public:
-  static constexpr std::size_t kMostBody = 256 * 1024;
+  static constexpr std::size_t kMaxBodyBytes = 256 * 1024;
 
   // `max_body`: upper bound of the body in bytes, whether stated by Content-Length or received in chunks.
-  explicit RequestParser(std::size_t max_body = kMostBody);
+  explicit RequestParser(std::size_t max_body = kMaxBodyBytes);
 
   [[nodiscard]] const std::string& method() const { return method_; }
   [[nodiscard]] const std::string& target() const { return target_; }
