--- a/src/net/http/http_connection.cpp
+++ b/src/net/http/http_connection.cpp
@@ -220,7 +220,7 @@
   if (parser_.state() == MessageParser::State::done) return dispatch_request();
   if (!had_head && parser_.state() == MessageParser::State::body && parser_.expects_continue()) {
     // Without 100 Continue, the client receives its response before sending the body.
-    if (server_.hooks_.wants && !server_.hooks_.wants(parser_)) return dispatch_request(false);
+    if (server_.hooks_.reads_body && !server_.hooks_.reads_body(parser_)) return dispatch_request(false);
     write("HTTP/1.1 100 Continue\r\n\r\n");
   }
 }
--- a/src/net/http/http_server.hpp
+++ b/src/net/http/http_server.hpp
@@ -104,7 +104,7 @@
   std::function<std::pair<Headers, std::string>(int status)> error;
   // Whether to read the body of a request with this head, which decides on answering `Expect: 100-continue`.
   // If not, the handler gets the request without a body, and the connection closes after the response.
-  std::function<bool(const RequestParser& head)> wants;
+  std::function<bool(const RequestParser& head)> reads_body;
 };
 
 // Accepts connections and passes each complete request to `handler`. Not thread-safe; runs on its loop.
--- a/src/net/openai/front.cpp
+++ b/src/net/openai/front.cpp
@@ -97,7 +97,7 @@
     openai::add_retry_headers(headers, error.should_retry, error.wait);
     return std::pair(std::move(headers), openai::error_object(error.message, error.type, "", error.code));
   };
-  hooks.wants = [this](const RequestParser& head) {
+  hooks.reads_body = [this](const RequestParser& head) {
     const std::string path = path_of(head.target());
     const bool taken = path == kChat || path == kCompletions || path == kResponses;
     if (head.method() != "POST" || !taken || !known_coding(head.header("Content-Encoding"))) return false;
