--- a/src/app/serve.cpp
+++ b/src/app/serve.cpp
@@ -157,10 +157,11 @@
     loop.run();
     waiting_for_list = false;
   }
-  const net::HttpServer::Place place =
-      config.passed_socket ? net::HttpServer::Place(*config.passed_socket) : config.listen;
+  const net::HttpServer::Endpoint endpoint =
+      config.passed_socket ? net::HttpServer::Endpoint(*config.passed_socket) : config.listen;
   net::HttpServer server(
-      loop, place, [&](std::unique_ptr<net::IncomingRequest> incoming) { front.handle(std::move(incoming)); },
+      loop, endpoint,
+      [&](std::unique_ptr<net::IncomingRequest> incoming) { front.handle(std::move(incoming)); },
       resource_limits.clients);
   std::optional<StreamHandover> stream_handover;
   if (config.passed_socket) {
--- a/src/net/http/http_server.cpp
+++ b/src/net/http/http_server.cpp
@@ -37,13 +37,13 @@
 
 }  // namespace
 
-HttpServer::HttpServer(Loop& loop, const Place& place, Handler handler, ServerLimits limits,
+HttpServer::HttpServer(Loop& loop, const Endpoint& endpoint, Handler handler, ServerLimits limits,
                        ServerHooks hooks)
     : loop_(loop),
       handler_(std::move(handler)),
       limits_(limits),
       hooks_(std::move(hooks)),
-      own_socket_(std::holds_alternative<std::string>(place)) {
+      own_socket_(std::holds_alternative<std::string>(endpoint)) {
   if (limits_.discard_bytes_per_s > 0) {
     const std::size_t rate = limits_.discard_bytes_per_s;
     discard_rate_.reset(ev_token_bucket_cfg_new(rate, rate, EV_RATE_LIMIT_MAX, EV_RATE_LIMIT_MAX, nullptr));
@@ -51,9 +51,9 @@
   const evconnlistener_cb accepted = [](evconnlistener*, evutil_socket_t socket, sockaddr*, int, void* self) {
     guarded("server", [=] { static_cast<HttpServer*>(self)->accept(socket); });
   };
-  const auto* address = std::get_if<std::string>(&place);
+  const auto* address = std::get_if<std::string>(&endpoint);
   listener_ = address != nullptr ? loop.listen(*address, accepted, this)
-                                 : loop.listen_on(std::get<int>(place), accepted, this);
+                                 : loop.listen_on(std::get<int>(endpoint), accepted, this);
   // Out of descriptors, libevent would retry without a pause, so the listener is disabled until the next
   // sweep.
   evconnlistener_set_error_cb(listener_.get(), [](evconnlistener* listener, void*) {
--- a/src/net/http/http_server.hpp
+++ b/src/net/http/http_server.hpp
@@ -114,8 +114,9 @@
 
   // Starts listening, at an address or on a descriptor that already listens. Throws std::runtime_error on
   // failure.
-  using Place = std::variant<std::string, int>;
-  HttpServer(Loop& loop, const Place& place, Handler handler, ServerLimits limits, ServerHooks hooks = {});
+  using Endpoint = std::variant<std::string, int>;
+  HttpServer(Loop& loop, const Endpoint& endpoint, Handler handler, ServerLimits limits,
+             ServerHooks hooks = {});
   ~HttpServer();
   HttpServer(const HttpServer&) = delete;
   HttpServer& operator=(const HttpServer&) = delete;
