--- a/src/app/operations.cpp
+++ b/src/app/operations.cpp
@@ -37,7 +37,7 @@
       server_(loop, config.mgmt,
               [this](std::unique_ptr<net::IncomingRequest> incoming) { page_.handle(std::move(incoming)); },
               {.connections = kMaxConnections, .body_bytes = kMaxBodyBytes, .single_error_status = true}) {
-  server_.wind_down();  // one call per connection
+  server_.close_after_responses();  // one call per connection
   load_file();
   poll();
 }
@@ -48,7 +48,7 @@
              on ? "draining: no new clients are accepted until resume" : "resumed: accepting clients");
   draining_since_ = on ? std::optional(loop_.now()) : std::nullopt;
   front_.set_ready(!on);
-  if (client_server_ != nullptr) client_server_->wind_down(on);
+  if (client_server_ != nullptr) client_server_->close_after_responses(on);
 }
 
 // Writes the file before answering, because another process of this conductor may already be the serving one.
--- a/src/app/wind_down.cpp
+++ b/src/app/wind_down.cpp
@@ -65,7 +65,7 @@
   if (shutting_down_) return;
   shutting_down_ = true;
   log::write("stop", "shutdown requested; open requests: " + std::to_string(conductor_.open_requests()));
-  for (net::HttpServer* server : servers_) server->wind_down();
+  for (net::HttpServer* server : servers_) server->close_after_responses();
   on_shutdown_();
   if (abandon_after_)
     deadline_timer_ = loop_.at(loop_.now() + *abandon_after_, [this] { conductor_.abandon(); });
--- a/src/net/http/http_connection.cpp
+++ b/src/net/http/http_connection.cpp
@@ -143,7 +143,7 @@
       if (evbuffer_get_length(bufferevent_get_output(stream_.get())) > 0) return false;
       // With reading disabled, libevent does not report the client's close.
       if (reading_stopped_ && client_closed()) return true;
-      return age(now) >= (server_.winding_down_ ? kLingerTimeoutAtShutdown : kLingerTimeout);
+      return age(now) >= (server_.closing_after_responses_ ? kLingerTimeoutAtShutdown : kLingerTimeout);
     }
     case Phase::answering:
       break;
@@ -253,7 +253,7 @@
 }
 
 void HttpConnection::write_head(int status, const Headers& headers, const std::string& framing) {
-  if (server_.winding_down_ || server_.near_connection_limit()) close_after_response_ = true;
+  if (server_.closing_after_responses_ || server_.near_connection_limit()) close_after_response_ = true;
   std::string text = "HTTP/1.1 " + std::to_string(status) + ' ' + reason_phrase(status) + "\r\n";
   for (const auto& [name, value] : headers) text.append(name).append(": ").append(value).append("\r\n");
   write(text + framing + (close_after_response_ ? "Connection: close\r\n\r\n" : "\r\n"));
@@ -267,7 +267,7 @@
   release_body_bytes(counted_body_bytes_);
   // A stream that began before the shutdown has no `Connection: close` in its head. If its connection were
   // kept, the client could send a request for which there is no time left.
-  if (close_after_response_ || server_.winding_down_) return start_closing();
+  if (close_after_response_ || server_.closing_after_responses_) return start_closing();
   enter_phase(Phase::idle);
   // The next request may already be buffered. It is read from the loop, because the handler may be on the
   // call stack.
--- a/src/net/http/http_server.hpp
+++ b/src/net/http/http_server.hpp
@@ -122,7 +122,7 @@
   HttpServer& operator=(const HttpServer&) = delete;
 
   // While on, every response asks the client to close the connection.
-  void wind_down(bool on = true) { winding_down_ = on; }
+  void close_after_responses(bool on = true) { closing_after_responses_ = on; }
   // Accepts what is waiting in the backlog, then closes the listener. Does not accept on an inherited socket,
   // whose backlog is left to the next process. False if the limits or a lack of descriptors left connections
   // in the backlog: the listener stays open, and the caller must try again.
@@ -130,7 +130,7 @@
   // Continues a client's response stream from another process; takes ownership of the descriptor. Null if the
   // state is malformed.
   [[nodiscard]] std::unique_ptr<IncomingRequest> take_over(const core::HandoverState& passed);
-  [[nodiscard]] bool winding_down() const { return winding_down_; }
+  [[nodiscard]] bool closing_after_responses() const { return closing_after_responses_; }
   // Closes connections without a pending request; those that never sent one only at an age of at least
   // `silent`.
   void close_idle(core::Duration silent = core::Duration{0});
@@ -156,7 +156,7 @@
   ServerHooks hooks_;
   std::unique_ptr<ev_token_bucket_cfg, Freed<ev_token_bucket_cfg_free>> discard_rate_;
   bool own_socket_;
-  bool winding_down_ = false;
+  bool closing_after_responses_ = false;
   std::size_t body_bytes_ = 0;
   std::map<HttpConnection*, std::unique_ptr<HttpConnection>> connections_;  // all connections, from accept on
   ListenerPtr listener_;
