--- a/src/net/http/http_connection.cpp
+++ b/src/net/http/http_connection.cpp
@@ -330,7 +330,7 @@
 
 bool IncomingRequest::client_closed() const { return state_ != State::over && connection_->client_closed(); }
 
-bool IncomingRequest::hold(std::size_t bytes) {
+bool IncomingRequest::reserve_bytes(std::size_t bytes) {
   HttpServer& server = connection_->server_;
   if (server.body_bytes_ + bytes > server.limits_.body_bytes) return false;
   server.body_bytes_ += bytes;
--- a/src/net/http/http_server.hpp
+++ b/src/net/http/http_server.hpp
@@ -46,7 +46,7 @@
   void on_gone(std::function<void()> gone) { on_gone_ = std::move(gone); }
   // Reserves further bytes for this request until it is answered; false if the server's total would exceed
   // its limit.
-  [[nodiscard]] bool hold(std::size_t bytes);
+  [[nodiscard]] bool reserve_bytes(std::size_t bytes);
 
   // Sends a complete response. Has no effect once a response has begun.
   void answer(int status, const Headers& headers, std::string_view body);
--- a/src/net/openai/front.cpp
+++ b/src/net/openai/front.cpp
@@ -301,7 +301,7 @@
     case Coding::too_large:
       throw RequestError{"the body expands to more than this server takes", "", 413, "body_too_large"};
   }
-  if (expanded.body.size() > before && !incoming.hold(expanded.body.size() - before)) {
+  if (expanded.body.size() > before && !incoming.reserve_bytes(expanded.body.size() - before)) {
     throw RequestError{"too many large requests at once; nothing was run, and trying again is harmless", "",
                        503, "overloaded"};
   }
