--- a/src/net/http/http_connection.cpp
+++ b/src/net/http/http_connection.cpp
@@ -446,7 +446,7 @@
 void IncomingRequest::on_connection_lost() {
   const bool notify = state_ != State::over;
   detach();
-  const std::function<void()> callback = std::move(on_gone_);
+  const std::function<void()> callback = std::move(on_disconnect_);
   if (notify && callback) callback();  // last: it may destroy this object
 }
 
--- a/src/net/http/http_server.hpp
+++ b/src/net/http/http_server.hpp
@@ -43,7 +43,7 @@
   // have reported it yet.
   [[nodiscard]] bool client_closed() const;
   // Sets a callback for the loss of the client's connection before the answer has ended.
-  void on_gone(std::function<void()> gone) { on_gone_ = std::move(gone); }
+  void on_disconnect(std::function<void()> gone) { on_disconnect_ = std::move(gone); }
   // Reserves further bytes for this request until it is answered; false if the server's total would exceed
   // its limit.
   [[nodiscard]] bool reserve_bytes(std::size_t bytes);
@@ -76,7 +76,7 @@
   HttpConnection* connection_;
   RequestParser head_;
   std::string body_;
-  std::function<void()> on_gone_, on_drained_;
+  std::function<void()> on_disconnect_, on_drained_;
   State state_ = State::pending;
 };
 
--- a/src/net/openai/front.cpp
+++ b/src/net/openai/front.cpp
@@ -393,7 +393,7 @@
   const core::RequestId id = conductor_.accept(
       std::move(ask),
       std::make_unique<openai::Reply>(std::move(incoming), scheduler_, std::move(reply_options)));
-  if (id != 0) client.on_gone([this, id] { conductor_.client_gone(id); });
+  if (id != 0) client.on_disconnect([this, id] { conductor_.client_gone(id); });
 }
 
 }  // namespace bankmux::net
--- a/src/net/platform/platform_front.cpp
+++ b/src/net/platform/platform_front.cpp
@@ -154,7 +154,7 @@
   IncomingRequest& client = *incoming;
   const core::RequestId id = conductor_.accept(
       std::move(ask), std::make_unique<PlatformReply>(std::move(incoming), open_ids_, name));
-  if (id != 0) client.on_gone([this, id] { conductor_.client_gone(id); });
+  if (id != 0) client.on_disconnect([this, id] { conductor_.client_gone(id); });
 }
 
 void PlatformFront::take_over(const std::string& name, core::RunningStream stream, HttpServer& clients,
@@ -171,7 +171,7 @@
   stream.client_request.payload = std::move(payload);
   // Registered first: if the attempt cannot be created, the request ends before its id is known here.
   auto id = std::make_shared<core::RequestId>(0);
-  incoming->on_gone([this, id] { conductor_.client_gone(*id); });
+  incoming->on_disconnect([this, id] { conductor_.client_gone(*id); });
   *id = conductor_.take_over(stream, std::make_unique<PlatformReply>(std::move(incoming), open_ids_, name),
                              make);
 }
--- a/tests/stories/evhttp_stories.cpp
+++ b/tests/stories/evhttp_stories.cpp
@@ -84,7 +84,7 @@
       loop, address,
       [&](std::unique_ptr<net::IncomingRequest> incoming) {
         pending = std::move(incoming);
-        pending->on_gone([&] {
+        pending->on_disconnect([&] {
           gone = true;
           loop.stop();
         });
