--- a/src/net/http/content_coding.cpp
+++ b/src/net/http/content_coding.cpp
@@ -36,9 +36,9 @@
   std::size_t max_size_;
 };
 
-Expanded inflate_body(std::string_view encoded, std::size_t max_size, int window_bits) {
+DecodedBody inflate_body(std::string_view encoded, std::size_t max_size, int window_bits) {
   z_stream stream{};
-  if (inflateInit2(&stream, window_bits) != Z_OK) return {Coding::broken, {}};
+  if (inflateInit2(&stream, window_bits) != Z_OK) return {DecodeResult::broken, {}};
   const std::unique_ptr<z_stream, int (*)(z_stream*)> owner(&stream, inflateEnd);
   stream.next_in = reinterpret_cast<Bytef*>(const_cast<char*>(encoded.data()));
   stream.avail_in = static_cast<uInt>(encoded.size());
@@ -49,20 +49,21 @@
     stream.avail_out = buffer.size();
     result = inflate(&stream, Z_NO_FLUSH);
     const std::size_t produced = buffer.size() - stream.avail_out;
-    if (result != Z_OK && result != Z_STREAM_END) return {Coding::broken, {}};  // includes truncated input
-    if (!output.write(buffer.data(), produced)) return {Coding::too_large, {}};
-    if (result == Z_OK && produced == 0 && stream.avail_in == 0) return {Coding::broken, {}};
+    if (result != Z_OK && result != Z_STREAM_END)
+      return {DecodeResult::broken, {}};  // includes truncated input
+    if (!output.write(buffer.data(), produced)) return {DecodeResult::too_large, {}};
+    if (result == Z_OK && produced == 0 && stream.avail_in == 0) return {DecodeResult::broken, {}};
   }
   // Some recipients would read data behind the end of the stream and others would not.
-  if (stream.avail_in > 0) return {Coding::broken, {}};
-  return {Coding::done, std::move(output.body)};
+  if (stream.avail_in > 0) return {DecodeResult::broken, {}};
+  return {DecodeResult::done, std::move(output.body)};
 }
 
-Expanded decompress_zstd(std::string_view encoded, std::size_t max_size) {
+DecodedBody decompress_zstd(std::string_view encoded, std::size_t max_size) {
   const std::unique_ptr<ZSTD_DCtx, size_t (*)(ZSTD_DCtx*)> context(ZSTD_createDCtx(), ZSTD_freeDCtx);
   if (!context ||
       ZSTD_isError(ZSTD_DCtx_setParameter(context.get(), ZSTD_d_windowLogMax, kMaxZstdWindowLog))) {
-    return {Coding::broken, {}};
+    return {DecodeResult::broken, {}};
   }
   BoundedOutput output(encoded.size(), max_size);
   std::array<char, kBufferBytes> buffer;
@@ -71,37 +72,38 @@
   while (remaining != 0) {
     ZSTD_outBuffer out{buffer.data(), buffer.size(), 0};
     remaining = ZSTD_decompressStream(context.get(), &out, &in);
-    if (ZSTD_isError(remaining)) return {Coding::broken, {}};
-    if (!output.write(buffer.data(), out.pos)) return {Coding::too_large, {}};
-    if (remaining != 0 && out.pos == 0 && in.pos == in.size) return {Coding::broken, {}};
+    if (ZSTD_isError(remaining)) return {DecodeResult::broken, {}};
+    if (!output.write(buffer.data(), out.pos)) return {DecodeResult::too_large, {}};
+    if (remaining != 0 && out.pos == 0 && in.pos == in.size) return {DecodeResult::broken, {}};
   }
-  if (in.pos != in.size) return {Coding::broken, {}};
-  return {Coding::done, std::move(output.body)};
+  if (in.pos != in.size) return {DecodeResult::broken, {}};
+  return {DecodeResult::done, std::move(output.body)};
 }
 
 }  // namespace
 
-bool known_coding(std::string_view coding) {
+bool is_supported_coding(std::string_view coding) {
   return coding.empty() ||
          std::ranges::any_of(
              std::initializer_list<const char*>{"identity", "gzip", "x-gzip", "deflate", "zstd"},
              [coding](const char* known) { return same_name(coding, known); });
 }
 
-Expanded expand(std::string_view coding, std::string body, std::size_t max_size) {
+DecodedBody decode_body(std::string_view coding, std::string body, std::size_t max_size) {
   if (coding.empty() || same_name(coding, "identity")) {
-    if (body.size() > max_size) return {Coding::too_large, {}};
-    return {Coding::done, std::move(body)};
+    if (body.size() > max_size) return {DecodeResult::too_large, {}};
+    return {DecodeResult::done, std::move(body)};
   }
   if (same_name(coding, "gzip") || same_name(coding, "x-gzip"))
     return inflate_body(body, max_size, kZlibOrGzipWindowBits);
   if (same_name(coding, "deflate")) {
     // The standard means the zlib format; some senders omit its header.
-    Expanded result = inflate_body(body, max_size, kZlibOrGzipWindowBits);
-    return result.coding == Coding::broken ? inflate_body(body, max_size, kRawDeflateWindowBits) : result;
+    DecodedBody result = inflate_body(body, max_size, kZlibOrGzipWindowBits);
+    return result.coding == DecodeResult::broken ? inflate_body(body, max_size, kRawDeflateWindowBits)
+                                                 : result;
   }
   if (same_name(coding, "zstd")) return decompress_zstd(body, max_size);
-  return {Coding::unknown, {}};
+  return {DecodeResult::unknown, {}};
 }
 
 }  // namespace bankmux::net
--- a/src/net/http/content_coding.hpp
+++ b/src/net/http/content_coding.hpp
@@ -7,10 +7,10 @@
 
 namespace bankmux::net {
 
-enum class Coding { done, unknown, broken, too_large };
+enum class DecodeResult { done, unknown, broken, too_large };
 
-struct Expanded {
-  Coding coding = Coding::done;
+struct DecodedBody {
+  DecodeResult coding = DecodeResult::done;
   std::string body;  // set if `coding` is done
 };
 
@@ -18,10 +18,10 @@
 // prompts reach 20, runs of a single letter 1,000.
 constexpr std::size_t kMaxExpansionRatio = 200;
 
-// Whether expand() supports the coding.
-[[nodiscard]] bool known_coding(std::string_view coding);
+// Whether decode_body() supports the coding.
+[[nodiscard]] bool is_supported_coding(std::string_view coding);
 // `coding`: a Content-Encoding value with a single coding; empty and "identity" return the body unchanged.
 // `max_size`: upper bound of the decoded size in bytes.
-Expanded expand(std::string_view coding, std::string body, std::size_t max_size);
+DecodedBody decode_body(std::string_view coding, std::string body, std::size_t max_size);
 
 }  // namespace bankmux::net
--- a/src/net/openai/front.cpp
+++ b/src/net/openai/front.cpp
@@ -100,7 +100,8 @@
   hooks.reads_body = [this](const RequestParser& head) {
     const std::string path = path_of(head.target());
     const bool taken = path == kChat || path == kCompletions || path == kResponses;
-    if (head.method() != "POST" || !taken || !known_coding(head.header("Content-Encoding"))) return false;
+    if (head.method() != "POST" || !taken || !is_supported_coding(head.header("Content-Encoding")))
+      return false;
     // Without a valid key the request is rejected by its headers alone, so no memory is reserved for its
     // body.
     return door_.identify(bearer(head.header("Authorization"))).has_value();
@@ -289,16 +290,16 @@
   if (codings > 1) throw RequestError{"Content-Encoding is there twice", "", 415, "unsupported_encoding"};
   std::string coded = incoming.take_body();
   const std::size_t before = coded.size();
-  Expanded expanded =
-      expand(incoming.header("Content-Encoding"), std::move(coded), appliance_.max_body_bytes);
+  DecodedBody expanded =
+      decode_body(incoming.header("Content-Encoding"), std::move(coded), appliance_.max_body_bytes);
   switch (expanded.coding) {
-    case Coding::done:
+    case DecodeResult::done:
       break;
-    case Coding::unknown:
+    case DecodeResult::unknown:
       throw RequestError{"Content-Encoding is none of gzip, deflate, zstd", "", 415, "unsupported_encoding"};
-    case Coding::broken:
+    case DecodeResult::broken:
       throw RequestError{"the body is not sound in its Content-Encoding", "", 400, "invalid_encoding"};
-    case Coding::too_large:
+    case DecodeResult::too_large:
       throw RequestError{"the body expands to more than this server takes", "", 413, "body_too_large"};
   }
   if (expanded.body.size() > before && !incoming.reserve_bytes(expanded.body.size() - before)) {
--- a/tests/chat_properties_test.cpp
+++ b/tests/chat_properties_test.cpp
@@ -108,13 +108,13 @@
 TEST_CASE("Content codings: compressed text is restored exactly, and truncated input is detected") {
   CHECK(rc::check([](const std::string& text) {
     const std::string packed = gzip(text);
-    const net::Expanded whole = net::expand("gzip", packed, 1 << 20);
-    RC_ASSERT(whole.coding == net::Coding::done);
+    const net::DecodedBody whole = net::decode_body("gzip", packed, 1 << 20);
+    RC_ASSERT(whole.coding == net::DecodeResult::done);
     RC_ASSERT(whole.body == text);
     const auto left = std::size_t(*rc::gen::inRange<int>(0, int(packed.size())));
-    RC_ASSERT(net::expand("gzip", packed.substr(0, left), 1 << 20).coding == net::Coding::broken);
+    RC_ASSERT(net::decode_body("gzip", packed.substr(0, left), 1 << 20).coding == net::DecodeResult::broken);
     if (!text.empty())
-      RC_ASSERT(net::expand("gzip", packed, text.size() - 1).coding == net::Coding::too_large);
+      RC_ASSERT(net::decode_body("gzip", packed, text.size() - 1).coding == net::DecodeResult::too_large);
   }));
 }
 
