--- a/src/app/serve.cpp
+++ b/src/app/serve.cpp
@@ -142,7 +142,7 @@
     if (waiting_for_list) loop.stop();
   });
   core::ConductorSettings settings = core_settings(config.module, resource_limits);
-  settings.discovery_delay = net::DiscoveryWatch::most_late();
+  settings.discovery_delay = net::DiscoveryWatch::max_update_delay();
   conductor.emplace(std::move(settings), loop, instances, discovery, log_line);
   conductor->observe(request_log(config.classes, config.tenants));
   net::PlatformFront front(*conductor, loop, config.classes, config.tenants);
--- a/src/net/platform/discovery_watch.cpp
+++ b/src/net/platform/discovery_watch.cpp
@@ -42,7 +42,7 @@
 
 DiscoveryWatch::~DiscoveryWatch() = default;
 
-core::Duration DiscoveryWatch::most_late() { return kResponseTimeout + local_agent_backoff().max; }
+core::Duration DiscoveryWatch::max_update_delay() { return kResponseTimeout + local_agent_backoff().max; }
 
 void DiscoveryWatch::open() {
   const auto at = config::Address::parse(address_);
--- a/src/net/platform/discovery_watch.hpp
+++ b/src/net/platform/discovery_watch.hpp
@@ -24,7 +24,7 @@
   // Opens the watch, replacing any earlier one.
   void open();
   // Longest delay before an agent's change arrives here: a call made while it was silent must time out first.
-  [[nodiscard]] static core::Duration most_late();
+  [[nodiscard]] static core::Duration max_update_delay();
   // Switches to another discovery address and requests its whole list. The old list stays in use until then.
   void move(const std::string& address);
   void subscribe() override {}  // the watch is always open
