--- a/src/app/succession.cpp
+++ b/src/app/succession.cpp
@@ -48,7 +48,7 @@
 
 void StreamHandover::start_sending() {
   receiver_.reset();
-  sender_ = net::StreamSender::call(
+  sender_ = net::StreamSender::connect(
       loop_, path_,
       [this] {
         log::write("handover", "the next process takes running streams over");
--- a/src/net/handover/stream_socket.cpp
+++ b/src/net/handover/stream_socket.cpp
@@ -177,8 +177,9 @@
 
 // ---- StreamSender ----
 
-std::unique_ptr<StreamSender> StreamSender::call(Loop& loop, const std::string& path,
-                                                 std::function<void()> ready, std::function<void()> ended) {
+std::unique_ptr<StreamSender> StreamSender::connect(Loop& loop, const std::string& path,
+                                                    std::function<void()> ready,
+                                                    std::function<void()> ended) {
   const UnixAddress address(path);
   Descriptor socket = open_unix_socket();
   if (socket.get() < 0 || !address.fits() ||
--- a/src/net/handover/stream_socket.hpp
+++ b/src/net/handover/stream_socket.hpp
@@ -61,8 +61,8 @@
  public:
   // Connects to the receiver listening at `path`; null if there is none. `ready` is called once the receiver
   // has confirmed that it reads this message format; `ended` if it never does or the connection ends.
-  static std::unique_ptr<StreamSender> call(Loop& loop, const std::string& path, std::function<void()> ready,
-                                            std::function<void()> ended);
+  static std::unique_ptr<StreamSender> connect(Loop& loop, const std::string& path,
+                                               std::function<void()> ready, std::function<void()> ended);
   ~StreamSender();
   StreamSender(const StreamSender&) = delete;
   StreamSender& operator=(const StreamSender&) = delete;
