--- a/src/app/console.cpp
+++ b/src/app/console.cpp
@@ -90,7 +90,7 @@
       keys_.reset(event_new(
           loop_.base(), STDIN_FILENO, EV_READ | EV_PERSIST,
           [](evutil_socket_t, short, void* self) {
-            net::guarded("console", [self] { static_cast<Console*>(self)->read_keys(); });
+            net::run_guarded("console", [self] { static_cast<Console*>(self)->read_keys(); });
           },
           this));
       event_add(keys_.get(), nullptr);
@@ -107,7 +107,7 @@
     evhttp_connection_set_timeout(connection_.get(), kRequestTimeoutSeconds);
     evhttp_request* request = evhttp_request_new(
         [](evhttp_request* response, void* self) {
-          net::guarded("console", [&] { static_cast<Console*>(self)->handle_response(response); });
+          net::run_guarded("console", [&] { static_cast<Console*>(self)->handle_response(response); });
         },
         this);
     evhttp_add_header(evhttp_request_get_output_headers(request), "Host", endpoint_.host.c_str());
@@ -174,7 +174,7 @@
   bool once_;
   net::Loop loop_;
   net::EventPtr keys_;
-  std::unique_ptr<evhttp_connection, net::Freed<evhttp_connection_free>> connection_;
+  std::unique_ptr<evhttp_connection, net::Deleter<evhttp_connection_free>> connection_;
   std::unique_ptr<core::Timer> next_request_;
   json status_ = json::object();
   int selected_ = 0;
--- a/src/app/page_commands.cpp
+++ b/src/app/page_commands.cpp
@@ -26,7 +26,7 @@
     net::Loop loop;
     Response response;
   } exchange;
-  const std::unique_ptr<evhttp_connection, net::Freed<evhttp_connection_free>> connection(
+  const std::unique_ptr<evhttp_connection, net::Deleter<evhttp_connection_free>> connection(
       evhttp_connection_base_bufferevent_new(exchange.loop.base(), nullptr, nullptr, at.host.c_str(),
                                              at.port));
   evhttp_connection_set_timeout(connection.get(), kTimeoutSeconds);
@@ -78,7 +78,7 @@
 }
 
 std::string percent_encoded(const std::string& text) {
-  const std::unique_ptr<char, net::Freed<std::free>> out(
+  const std::unique_ptr<char, net::Deleter<std::free>> out(
       evhttp_uriencode(text.data(), ssize_t(text.size()), 0));
   return out.get();
 }
--- a/src/net/appliance/agent_check.cpp
+++ b/src/net/appliance/agent_check.cpp
@@ -38,12 +38,12 @@
       listener_(loop.listen(
           address,
           [](evconnlistener*, evutil_socket_t socket, sockaddr*, int, void* self) {
-            guarded("agent", [=] { static_cast<AgentCheck*>(self)->accept(socket); });
+            run_guarded("agent", [=] { static_cast<AgentCheck*>(self)->accept(socket); });
           },
           this)) {
   evconnlistener_set_error_cb(listener_.get(), [](evconnlistener*, void* self) {
     if (accept_error_is_transient(EVUTIL_SOCKET_ERROR())) return;
-    guarded("agent", [=] { static_cast<AgentCheck*>(self)->pause_listener(); });
+    run_guarded("agent", [=] { static_cast<AgentCheck*>(self)->pause_listener(); });
   });
 }
 
--- a/src/net/handover/stream_socket.cpp
+++ b/src/net/handover/stream_socket.cpp
@@ -114,7 +114,7 @@
   accept_event_.reset(event_new(
       loop_.base(), listener_.get(), EV_READ | EV_PERSIST,
       [](evutil_socket_t, short, void* self) {
-        guarded("handover", [self] { static_cast<StreamReceiver*>(self)->on_connection(); });
+        run_guarded("handover", [self] { static_cast<StreamReceiver*>(self)->on_connection(); });
       },
       this));
   if (!accept_event_ || event_add(accept_event_.get(), nullptr) != 0)
@@ -136,7 +136,7 @@
       [](evutil_socket_t, short, void* self) {
         auto* sender_connection = static_cast<Connection*>(self);
         StreamReceiver& receiver = *sender_connection->receiver;
-        guarded("handover", [&] {
+        run_guarded("handover", [&] {
           for (int i = 0; i < kMaxMessagesPerEvent; ++i) {
             if (receiver.receive(sender_connection->socket.get())) continue;
             receiver.connections_.remove_if(
@@ -197,7 +197,7 @@
   readable_event_.reset(event_new(
       loop.base(), socket_.get(), EV_READ | EV_PERSIST,
       [](evutil_socket_t, short, void* self) {
-        guarded("handover", [self] { static_cast<StreamSender*>(self)->on_readable(); });
+        run_guarded("handover", [self] { static_cast<StreamSender*>(self)->on_readable(); });
       },
       this));
   if (!readable_event_ || event_add(readable_event_.get(), nullptr) != 0)
--- a/src/net/http/http_connection.cpp
+++ b/src/net/http/http_connection.cpp
@@ -103,13 +103,13 @@
   bufferevent_setcb(
       stream_.get(),
       [](bufferevent*, void* self) {
-        guarded("client", [=] { static_cast<HttpConnection*>(self)->on_readable(); });
+        run_guarded("client", [=] { static_cast<HttpConnection*>(self)->on_readable(); });
       },
       [](bufferevent*, void* self) {
-        guarded("client", [=] { static_cast<HttpConnection*>(self)->on_output_drained(); });
+        run_guarded("client", [=] { static_cast<HttpConnection*>(self)->on_output_drained(); });
       },
       [](bufferevent*, short, void* self) {
-        guarded("client", [=] { static_cast<HttpConnection*>(self)->on_closed(); });
+        run_guarded("client", [=] { static_cast<HttpConnection*>(self)->on_closed(); });
       },
       this);
   bufferevent_setwatermark(stream_.get(), EV_READ, 0, kMaxReadAheadBytes);
--- a/src/net/http/http_server.cpp
+++ b/src/net/http/http_server.cpp
@@ -49,7 +49,7 @@
     discard_rate_.reset(ev_token_bucket_cfg_new(rate, rate, EV_RATE_LIMIT_MAX, EV_RATE_LIMIT_MAX, nullptr));
   }
   const evconnlistener_cb accepted = [](evconnlistener*, evutil_socket_t socket, sockaddr*, int, void* self) {
-    guarded("server", [=] { static_cast<HttpServer*>(self)->accept(socket); });
+    run_guarded("server", [=] { static_cast<HttpServer*>(self)->accept(socket); });
   };
   const auto* address = std::get_if<std::string>(&endpoint);
   listener_ = address != nullptr ? loop.listen(*address, accepted, this)
--- a/src/net/http/http_server.hpp
+++ b/src/net/http/http_server.hpp
@@ -154,7 +154,7 @@
   Handler handler_;
   ServerLimits limits_;
   ServerHooks hooks_;
-  std::unique_ptr<ev_token_bucket_cfg, Freed<ev_token_bucket_cfg_free>> discard_rate_;
+  std::unique_ptr<ev_token_bucket_cfg, Deleter<ev_token_bucket_cfg_free>> discard_rate_;
   bool own_socket_;
   bool closing_after_responses_ = false;
   std::size_t body_bytes_ = 0;
--- a/src/net/instances/instance_pool.cpp
+++ b/src/net/instances/instance_pool.cpp
@@ -107,13 +107,13 @@
   bufferevent_setcb(
       connection_.get(),
       [](bufferevent*, void* self) {
-        guarded("instance", [self] { static_cast<Exchange*>(self)->on_readable(); });
+        run_guarded("instance", [self] { static_cast<Exchange*>(self)->on_readable(); });
       },
       [](bufferevent*, void* self) {
-        guarded("instance", [self] { static_cast<Exchange*>(self)->on_output_written(); });
+        run_guarded("instance", [self] { static_cast<Exchange*>(self)->on_output_written(); });
       },
       [](bufferevent*, short what, void* self) {
-        guarded("instance", [self, what] {
+        run_guarded("instance", [self, what] {
           auto* exchange = static_cast<Exchange*>(self);
           if (what & BEV_EVENT_CONNECTED) {
             exchange->on_connected();
--- a/src/net/loop/loop.cpp
+++ b/src/net/loop/loop.cpp
@@ -40,7 +40,7 @@
   static void fired(evutil_socket_t, short, void* self) {
     // Moved out first, because the callback may destroy this timer.
     const std::function<void()> run = std::move(static_cast<LoopTimer*>(self)->run_);
-    guarded("timer", run);
+    run_guarded("timer", run);
   }
   std::function<void()> run_;
   EventPtr event_;
@@ -48,7 +48,7 @@
 
 }  // namespace
 
-void guarded(const char* where, const std::function<void()>& run) {
+void run_guarded(const char* where, const std::function<void()>& run) {
   try {
     run();
   } catch (const std::exception& problem) {
@@ -90,14 +90,14 @@
 }
 
 void Loop::run_soon() {
-  for (const auto& run : std::exchange(soon_tasks_, {})) guarded("loop", run);
+  for (const auto& run : std::exchange(soon_tasks_, {})) run_guarded("loop", run);
 }
 
 EventPtr Loop::on_signal(int number, std::function<void()>* run) {
   EventPtr signal(evsignal_new(
       base_.get(), number,
       [](evutil_socket_t, short, void* handler) {
-        guarded("signal", *static_cast<std::function<void()>*>(handler));
+        run_guarded("signal", *static_cast<std::function<void()>*>(handler));
       },
       run));
   if (!signal || event_add(signal.get(), nullptr) != 0)
--- a/src/net/loop/loop.hpp
+++ b/src/net/loop/loop.hpp
@@ -18,26 +18,26 @@
 namespace bankmux::net {
 
 template <auto Free>
-struct Freed {
+struct Deleter {
   template <typename T>
   void operator()(T* object) const {
     Free(object);
   }
 };
-using BasePtr = std::unique_ptr<event_base, Freed<event_base_free>>;
-using EventPtr = std::unique_ptr<event, Freed<event_free>>;
-using BufferEventPtr = std::unique_ptr<bufferevent, Freed<bufferevent_free>>;
-using BufferPtr = std::unique_ptr<evbuffer, Freed<evbuffer_free>>;
-using ListenerPtr = std::unique_ptr<evconnlistener, Freed<evconnlistener_free>>;
+using BasePtr = std::unique_ptr<event_base, Deleter<event_base_free>>;
+using EventPtr = std::unique_ptr<event, Deleter<event_free>>;
+using BufferEventPtr = std::unique_ptr<bufferevent, Deleter<bufferevent_free>>;
+using BufferPtr = std::unique_ptr<evbuffer, Deleter<evbuffer_free>>;
+using ListenerPtr = std::unique_ptr<evconnlistener, Deleter<evconnlistener_free>>;
 
 // Runs `run` and logs any exception under `where`. Exceptions must not propagate through libevent's C frames.
-void guarded(const char* where, const std::function<void()>& run);
+void run_guarded(const char* where, const std::function<void()>& run);
 
 // Whether an accept4 error concerns a single connection or a signal, so that the next call may succeed at
 // once. Linux reports pending network errors of a waiting connection through accept4.
 [[nodiscard]] bool accept_error_is_transient(int error);
 
-// Single-threaded event loop. Callbacks that throw are logged, see guarded().
+// Single-threaded event loop. Callbacks that throw are logged, see run_guarded().
 class Loop : public core::Scheduler {
  public:
   Loop();
--- a/src/net/loop/mailbox.cpp
+++ b/src/net/loop/mailbox.cpp
@@ -41,7 +41,7 @@
     const std::lock_guard lock(mutex_);
     now.swap(posted_);
   }
-  for (const auto& run : now) guarded("mailbox", run);
+  for (const auto& run : now) run_guarded("mailbox", run);
 }
 
 }  // namespace bankmux::net
--- a/src/net/platform/discovery_watch.cpp
+++ b/src/net/platform/discovery_watch.cpp
@@ -55,11 +55,11 @@
   evhttp_connection_set_timeout(connection_.get(), kReadTimeoutSeconds);
   evhttp_request* request = evhttp_request_new(
       [](evhttp_request* answer, void* self) {
-        guarded("discovery", [=] { static_cast<DiscoveryWatch*>(self)->on_closed(answer); });
+        run_guarded("discovery", [=] { static_cast<DiscoveryWatch*>(self)->on_closed(answer); });
       },
       this);
   evhttp_request_set_chunked_cb(request, [](evhttp_request* answer, void* self) {
-    guarded("discovery", [&] { static_cast<DiscoveryWatch*>(self)->on_data(answer); });
+    run_guarded("discovery", [&] { static_cast<DiscoveryWatch*>(self)->on_data(answer); });
   });
   // The response head proves that discovery is up; without changes, the first line comes up to 2 s later.
   evhttp_request_set_header_cb(request, [](evhttp_request* answer, void* self) {
--- a/src/net/platform/discovery_watch.hpp
+++ b/src/net/platform/discovery_watch.hpp
@@ -51,7 +51,7 @@
   bool shared_service_;
   Backoff shared_backoff_;
   std::mt19937_64 random_;
-  std::unique_ptr<evhttp_connection, Freed<evhttp_connection_free>> connection_;
+  std::unique_ptr<evhttp_connection, Deleter<evhttp_connection_free>> connection_;
   ListSplitter splitter_;
   std::unique_ptr<core::Timer> reopen_timer_, response_timeout_;
 };
--- a/tests/stories/evhttp_stories.cpp
+++ b/tests/stories/evhttp_stories.cpp
@@ -18,7 +18,7 @@
   loop.run();
 }
 
-using ClientPtr = std::unique_ptr<evhttp_connection, net::Freed<evhttp_connection_free>>;
+using ClientPtr = std::unique_ptr<evhttp_connection, net::Deleter<evhttp_connection_free>>;
 
 struct Results {
   int answers = 0;  // callbacks with a response
@@ -50,7 +50,7 @@
 
 TEST_CASE("evhttp's server does not notice that a client has closed while its response is pending") {
   net::Loop loop;
-  const std::unique_ptr<evhttp, net::Freed<evhttp_free>> http(evhttp_new(loop.base()));
+  const std::unique_ptr<evhttp, net::Deleter<evhttp_free>> http(evhttp_new(loop.base()));
   static bool taken, closed;
   taken = closed = false;
   evhttp_set_gencb(
