--- a/src/net/instances/instance_pool.cpp
+++ b/src/net/instances/instance_pool.cpp
@@ -142,7 +142,7 @@
 // A delayed loop runs this timer before it reports a connection made in time, because it handles a few dozen
 // connections per iteration. If the socket is connected or has failed, the loop reports it in the next one.
 void Exchange::arm_connect_timeout() {
-  timeout_ = pool_.loop_.at(pool_.loop_.now() + pool_.limits_.connect, [this] {
+  timeout_ = pool_.loop_.at(pool_.loop_.now() + pool_.limits_.connect_timeout, [this] {
     pollfd connecting{bufferevent_getfd(connection_.get()), POLLOUT, 0};
     poll(&connecting, 1, 0) > 0 ? arm_connect_timeout() : finish(false);
   });
@@ -329,7 +329,7 @@
 void InstancePool::add_idle(const std::string& address, BufferEventPtr connection, bool answered_stream) {
   std::list<Idle>& list = idle_[address];
   Idle& idle = list.emplace_front(Idle{this, address, std::move(connection), loop_.now(), answered_stream});
-  const auto us = limits_.idle.count();
+  const auto us = limits_.idle_timeout.count();
   const timeval time{static_cast<time_t>(us / 1'000'000), static_cast<suseconds_t>(us % 1'000'000)};
   bufferevent_set_timeouts(idle.connection.get(), &time, nullptr);
   bufferevent_setcb(
--- a/src/net/instances/instance_pool.hpp
+++ b/src/net/instances/instance_pool.hpp
@@ -15,9 +15,9 @@
 namespace bankmux::net {
 
 struct PoolLimits {
-  core::Duration connect{250'000};  // time limit for a new connection
-  core::Duration idle{12'000'000};  // must be below the instances' own idle timeout
-  std::size_t connections = 450;    // open at once, idle ones included
+  core::Duration connect_timeout{250'000};  // time limit for a new connection
+  core::Duration idle_timeout{12'000'000};  // must be below the instances' own idle timeout
+  std::size_t connections = 450;            // open at once, idle ones included
 };
 
 class InstancePool;
--- a/tests/stories/held_up_stories.cpp
+++ b/tests/stories/held_up_stories.cpp
@@ -51,7 +51,7 @@
   });
   constexpr core::Duration kIdle = 100ms;
   net::Loop loop;
-  net::InstancePool pool(loop, {.idle = kIdle});
+  net::InstancePool pool(loop, {.idle_timeout = kIdle});
   const auto get = [&](ExchangeEnd& ending) {
     return std::make_unique<net::Exchange>(pool, instance.address(), get_head, nullptr, kAnyConnection,
                                            ending);
@@ -92,7 +92,7 @@
     int ended = 0, whole = 0;
   } served;
   net::Loop loop;
-  net::InstancePool pool(loop, {.connect = kConnect});
+  net::InstancePool pool(loop, {.connect_timeout = kConnect});
   std::vector<std::unique_ptr<net::Exchange>> exchanges;
   const auto asked = loop.at(loop.now(), [&] {
     for (int i = 0; i < kRequests; ++i) {
@@ -156,7 +156,7 @@
   };
   net::Loop loop;
   CountingEvents served(loop);
-  net::InstanceClient client(loop, {.connect = 2s}, net::Dialect::platform);
+  net::InstanceClient client(loop, {.connect_timeout = 2s}, net::Dialect::platform);
   auto payload = std::make_shared<core::Payload>();
   payload->id = "a";
   payload->method = "POST";
