--- a/src/app/operations.hpp
+++ b/src/app/operations.hpp
@@ -11,7 +11,7 @@
 #include "core/conductor.hpp"
 #include "net/http/http_server.hpp"
 #include "net/loop/loop.hpp"
-#include "net/platform/management_page.hpp"
+#include "net/platform/management_handler.hpp"
 #include "net/platform/platform_front.hpp"
 #include "operations/maintenance.hpp"
 
@@ -44,7 +44,7 @@
   net::HttpServer* client_server_ = nullptr;
   std::optional<core::Time> draining_since_;
   bool shutting_down_ = false;
-  net::ManagementPage page_;
+  net::ManagementHandler page_;
   net::HttpServer server_;
   std::unique_ptr<core::Timer> poll_timer_;
 };
--- a/src/net/platform/management_page.cpp
+++ b/src/net/platform/management_handler.cpp
@@ -1,4 +1,4 @@
-#include "net/platform/management_page.hpp"
+#include "net/platform/management_handler.hpp"
 
 #include <string_view>
 
@@ -16,7 +16,7 @@
 
 }  // namespace
 
-std::string ManagementPage::metrics() const {
+std::string ManagementHandler::metrics() const {
   const core::RequestCounters& figures = conductor_.figures();
   std::string text;
   for (std::size_t i = 0; i < classes_.size() && i < figures.by_class.size(); ++i) {
@@ -38,7 +38,7 @@
   return text;
 }
 
-void ManagementPage::instance_call(IncomingRequest& incoming, const std::string& path) const {
+void ManagementHandler::instance_call(IncomingRequest& incoming, const std::string& path) const {
   const std::size_t slash = path.rfind('/');
   const std::string command = path.substr(slash + 1);
   if (slash <= kInstances.size() || (command != "disable" && command != "enable")) {
@@ -54,7 +54,7 @@
   incoming.answer(200, {}, command == "disable" ? "out of rotation\n" : "may serve again\n");
 }
 
-void ManagementPage::handle(std::unique_ptr<IncomingRequest> incoming) const {
+void ManagementHandler::handle(std::unique_ptr<IncomingRequest> incoming) const {
   const std::string path = incoming->path();
   if (path.starts_with(kInstances)) return instance_call(*incoming, path);
   const bool is_command = path == "/-/drain" || path == "/-/resume";
--- a/src/net/platform/management_page.hpp
+++ b/src/net/platform/management_handler.hpp
@@ -12,7 +12,7 @@
 
 namespace bankmux::net {
 
-class ManagementPage {
+class ManagementHandler {
  public:
   struct Actions {
     std::function<bool()> ready;  // whether this process accepts clients
@@ -22,7 +22,7 @@
     std::function<bool(const std::string& id, bool out)> maintain;
   };
 
-  ManagementPage(const core::Conductor& conductor, std::vector<std::string> classes, Actions actions)
+  ManagementHandler(const core::Conductor& conductor, std::vector<std::string> classes, Actions actions)
       : conductor_(conductor), classes_(std::move(classes)), actions_(std::move(actions)) {}
 
   void handle(std::unique_ptr<IncomingRequest> incoming) const;
