--- a/bench/lost_streams.cpp
+++ b/bench/lost_streams.cpp
@@ -14,7 +14,7 @@
 #include "peers.hpp"
 
 using nlohmann::json;
-using namespace stories;
+using namespace integration;
 using Clock = std::chrono::steady_clock;
 
 namespace {
--- a/tests/config_test.cpp
+++ b/tests/config_test.cpp
@@ -7,7 +7,7 @@
 
 #include "config/appliance.hpp"
 #include "config/schema.hpp"
-#include "stories/platform_world.hpp"
+#include "integration/platform_fixture.hpp"
 
 using namespace bankmux;
 using nlohmann::json;
@@ -21,8 +21,8 @@
           {"listen", "127.0.0.1:7070"},
           {"discovery", "127.0.0.1:8500"},
           {"seed", "8c1f30d27a5be964"},
-          {"settings", stories::site_settings()},
-          {"known", json::parse(stories::Platform::line(41, true, {{"s-1", "lectura", "127.0.0.1:1"}}))}};
+          {"settings", integration::site_settings()},
+          {"known", json::parse(integration::Platform::line(41, true, {{"s-1", "lectura", "127.0.0.1:1"}}))}};
 }
 
 json appliance() {
--- a/tests/conformance/main.cpp
+++ b/tests/conformance/main.cpp
@@ -11,10 +11,10 @@
 #include <nlohmann/json.hpp>
 #include <thread>
 
-#include "../stories/peers.hpp"
+#include "../integration/peers.hpp"
 
 using nlohmann::json;
-using namespace stories;
+using namespace integration;
 
 namespace {
 
--- a/tests/faults/held_release_test.cpp
+++ b/tests/faults/held_release_test.cpp
@@ -9,8 +9,8 @@
 #include "faults/stand_in_platform.hpp"
 
 using namespace faults;
-using stories::client_request;
-using stories::Platform;
+using integration::client_request;
+using integration::Platform;
 
 namespace {
 
@@ -22,12 +22,13 @@
 struct World {
   SimulatedPlatform servers;
   Platform platform;
-  explicit World(ServiceTimes service_times = {}, const nlohmann::json& settings = stories::site_settings())
+  explicit World(ServiceTimes service_times = {},
+                 const nlohmann::json& settings = integration::site_settings())
       : servers(2, 3, service_times), platform(servers.listed(), settings) {}
 
   // Opens connections to every server, which stay idle afterwards.
   void warm_up() {
-    std::vector<std::unique_ptr<stories::Wire>> clients;
+    std::vector<std::unique_ptr<integration::Wire>> clients;
     for (int i = 0; i < 12; ++i) {
       clients.push_back(platform.connect());
       clients.back()->send(client_request("warm" + std::to_string(i), "consulta", 5000, 3000));
@@ -84,7 +85,7 @@
 
 TEST_CASE("Faults: a reservation is released in time while its prefill does not arrive") {
   // Prefills take most of the class's target time, so that decode capacity is reserved before they end.
-  nlohmann::json settings = stories::site_settings();
+  nlohmann::json settings = integration::site_settings();
   settings["categories"][0]["targetS"] = 0.8;
   World world({.prefill_min = 300, .prefill_max = 300}, settings);
   for (int i = 0; i < 4; ++i) REQUIRE(world.ask("warm" + std::to_string(i), "consulta") == "HTTP/1.1 200 OK");
--- a/tests/faults/soak.cpp
+++ b/tests/faults/soak.cpp
@@ -19,9 +19,9 @@
 namespace faults {
 
 using Kind = HistoryEvent::Kind;
-using stories::Platform;
-using stories::Program;
-using stories::Wire;
+using integration::Platform;
+using integration::Program;
+using integration::Wire;
 
 namespace {
 
@@ -51,7 +51,7 @@
 }
 
 nlohmann::json soak_settings() {
-  nlohmann::json settings = stories::site_settings();
+  nlohmann::json settings = integration::site_settings();
   for (auto& category : settings["categories"]) category["deadlineS"] = kLongestDeadline;
   return settings;
 }
@@ -172,7 +172,8 @@
     const bool safe = chance(random_, 0.7);
     const double wait = draw(random_, 0.8, kLongestDeadline);
     const int prompt = chance(random_, 0.2) ? 100 : draw_int(random_, 1000, 20000);
-    std::string text = stories::client_request(id, safe ? "consulta" : "ajuste", int(wait * 1000), prompt);
+    std::string text =
+        integration::client_request(id, safe ? "consulta" : "ajuste", int(wait * 1000), prompt);
     const std::string close = "Connection: close\r\n";
     text.erase(text.find(close), close.size());
     const bool disconnects = chance(random_, 0.1);
@@ -210,7 +211,7 @@
     return true;
   }
   AnswerState receive(const std::string& id) {
-    const stories::Message head = wire_->receive_head();
+    const integration::Message head = wire_->receive_head();
     if (head.first.empty()) return AnswerState::closed_before_answer;
     bool complete = true;
     if (head.headers.contains("transfer-encoding")) {
--- a/tests/faults/stand_in_platform.cpp
+++ b/tests/faults/stand_in_platform.cpp
@@ -7,9 +7,9 @@
 namespace faults {
 
 using Kind = HistoryEvent::Kind;
-using stories::Message;
-using stories::simple;
-using stories::Wire;
+using integration::Message;
+using integration::simple;
+using integration::Wire;
 
 namespace {
 
@@ -27,11 +27,11 @@
 
 SimulatedServer::SimulatedServer(SimulatedPlatform& platform, std::string id, bool prefill)
     : platform_(platform), id_(std::move(id)), prefill_(prefill) {
-  peer_ = std::make_unique<stories::Peer>([this](Wire& wire) { serve(wire); });
+  peer_ = std::make_unique<integration::Peer>([this](Wire& wire) { serve(wire); });
   relay_ = std::make_unique<Relay>(peer_->address());
 }
 
-stories::Platform::Instance SimulatedServer::listed() const {
+integration::Platform::Instance SimulatedServer::listed() const {
   return {id_, prefill_ ? "lectura" : "escritura", relay_->address()};
 }
 
@@ -108,14 +108,14 @@
   const ServiceTimes& service_times = platform_.service_times_;
   bool disconnected = wire.closed_within(
       platform_.random_between(service_times.first_token_min, service_times.first_token_max));
-  if (!disconnected) wire.send(stories::stream_head());
+  if (!disconnected) wire.send(integration::stream_head());
   for (int i = 0; i < service_times.events && !disconnected; ++i) {
-    wire.send(stories::chunk("data: {\"n\":" + std::to_string(i) + "}\n\n"));
+    wire.send(integration::chunk("data: {\"n\":" + std::to_string(i) + "}\n\n"));
     disconnected = wire.closed_within(service_times.between_events);
   }
   platform_.history_.add(Kind::attempt_ended, id, id_, disconnected ? "cancelled" : "served");
   if (disconnected) return false;
-  wire.send(stories::chunk("data: [DONE]\n\n") + "0\r\n\r\n");
+  wire.send(integration::chunk("data: [DONE]\n\n") + "0\r\n\r\n");
   return true;
 }
 
@@ -149,8 +149,8 @@
   return result;
 }
 
-std::vector<stories::Platform::Instance> SimulatedPlatform::listed() const {
-  std::vector<stories::Platform::Instance> result;
+std::vector<integration::Platform::Instance> SimulatedPlatform::listed() const {
+  std::vector<integration::Platform::Instance> result;
   for (const auto& server : servers_) result.push_back(server->listed());
   return result;
 }
--- a/tests/faults/stand_in_platform.hpp
+++ b/tests/faults/stand_in_platform.hpp
@@ -12,7 +12,7 @@
 
 #include "faults/history.hpp"
 #include "faults/relay.hpp"
-#include "stories/platform_world.hpp"
+#include "integration/platform_fixture.hpp"
 
 namespace faults {
 
@@ -31,22 +31,22 @@
   [[nodiscard]] const std::string& id() const { return id_; }
   [[nodiscard]] bool prefill() const { return prefill_; }
   [[nodiscard]] Relay& relay() { return *relay_; }
-  [[nodiscard]] stories::Platform::Instance listed() const;
+  [[nodiscard]] integration::Platform::Instance listed() const;
   // If on, each answer to a prefill is followed by silencing all open connections.
   void silence_after_prefill(bool on) { silence_after_prefill_ = on; }
 
  private:
-  void serve(stories::Wire& wire);
-  bool answer(stories::Wire& wire, const stories::Message& request);
-  bool run_prefill(stories::Wire& wire, const std::string& id);
-  bool decode(stories::Wire& wire, const std::string& id);
-  void reserve(stories::Wire& wire, const std::string& id);
+  void serve(integration::Wire& wire);
+  bool answer(integration::Wire& wire, const integration::Message& request);
+  bool run_prefill(integration::Wire& wire, const std::string& id);
+  bool decode(integration::Wire& wire, const std::string& id);
+  void reserve(integration::Wire& wire, const std::string& id);
 
   SimulatedPlatform& platform_;
   std::string id_;
   bool prefill_;
   std::atomic<bool> silence_after_prefill_{false};
-  std::unique_ptr<stories::Peer> peer_;
+  std::unique_ptr<integration::Peer> peer_;
   std::unique_ptr<Relay> relay_;
 };
 
@@ -59,7 +59,7 @@
   [[nodiscard]] std::vector<std::unique_ptr<SimulatedServer>>& servers() { return servers_; }
   [[nodiscard]] std::vector<SimulatedServer*> of_role(bool prefill);
   // The servers as discovery lists them.
-  [[nodiscard]] std::vector<stories::Platform::Instance> listed() const;
+  [[nodiscard]] std::vector<integration::Platform::Instance> listed() const;
 
  private:
   friend class SimulatedServer;
--- a/tests/fleet/fleet_rig.cpp
+++ b/tests/fleet/fleet_rig.cpp
@@ -8,7 +8,7 @@
 
 namespace fleet {
 
-using namespace stories;
+using namespace integration;
 using namespace std::chrono_literals;
 using Clock = std::chrono::steady_clock;
 
--- a/tests/fleet/fleet_rig.hpp
+++ b/tests/fleet/fleet_rig.hpp
@@ -11,7 +11,7 @@
 #include <string>
 #include <vector>
 
-#include "stories/appliance_world.hpp"
+#include "integration/appliance_world.hpp"
 
 namespace fleet {
 
@@ -29,7 +29,7 @@
   void kill(int i);  // with SIGKILL
   void signal(int i, int number) { member(i).program().send_signal(number); }
   [[nodiscard]] bool is_running(int i) const { return members_[std::size_t(i)] != nullptr; }
-  [[nodiscard]] stories::Appliance& member(int i) { return *members_[std::size_t(i)]; }
+  [[nodiscard]] integration::Appliance& member(int i) { return *members_[std::size_t(i)]; }
   [[nodiscard]] int size() const { return int(members_.size()); }
 
   // The member's duties page; an empty object if the member does not answer.
@@ -53,9 +53,9 @@
 
  private:
   void check_page(int i, const json& duties);
-  stories::Record health_checks_, requests_;
-  std::vector<std::unique_ptr<stories::Peer>> instances_;
-  std::vector<std::unique_ptr<stories::Appliance>> members_;
+  integration::Record health_checks_, requests_;
+  std::vector<std::unique_ptr<integration::Peer>> instances_;
+  std::vector<std::unique_ptr<integration::Appliance>> members_;
   double lease_s_;
   std::uint64_t newest_token_ = 0;
   std::map<std::uint64_t, std::string> owner_by_token_;  // a token never changes its owner
--- a/tests/fleet/ownership_stories.cpp
+++ b/tests/fleet/ownership_stories.cpp
@@ -114,7 +114,7 @@
   REQUIRE(fleet.wait_for_owner() >= 0);
   const auto state = [&fleet](int i) {
     const std::string text = fleet.member(i).page("GET", "/-/status");
-    return stories::body_of(text).at("boxes")[0].at("state").get<std::string>();
+    return integration::body_of(text).at("boxes")[0].at("state").get<std::string>();
   };
   const auto all_report = [&](const std::string& expected) {
     for (int tries = 0; tries < 200; ++tries) {
@@ -186,10 +186,11 @@
 }
 
 TEST_CASE("Fleet: on the platform, and without 'coordination', no store is opened") {
-  stories::Platform platform({{"a", "mixto", "127.0.0.1:1"}});
-  stories::Record seen;
-  stories::Peer box(stories::box(seen, [](stories::Wire&, const stories::Message&) { return true; }));
-  stories::Appliance alone({box.address()});
+  integration::Platform platform({{"a", "mixto", "127.0.0.1:1"}});
+  integration::Record seen;
+  integration::Peer box(
+      integration::box(seen, [](integration::Wire&, const integration::Message&) { return true; }));
+  integration::Appliance alone({box.address()});
   CHECK(alone.page("GET", "/-/duties").starts_with("HTTP/1.1 404"));
   Fleet fleet(1);
   CHECK(opens_file(fleet.member(0).program().pid(), "bankmux-fleet.db"));
--- a/tests/handover_test.cpp
+++ b/tests/handover_test.cpp
@@ -6,12 +6,12 @@
 
 #include "core/conductor.hpp"
 #include "fake_time.hpp"
+#include "integration/peers.hpp"
 #include "net/http/http_server.hpp"
 #include "net/http/payload.hpp"
 #include "net/http/response_parser.hpp"
 #include "operations/passed_stream.hpp"
 #include "sse/stream_scanner.hpp"
-#include "stories/peers.hpp"
 
 using namespace bankmux;
 using namespace std::chrono_literals;
@@ -107,8 +107,8 @@
 TEST_CASE("Unsent output of a client is handed over with its connection, response head included") {
   net::Loop loop;
   std::unique_ptr<net::IncomingRequest> taken_over;
-  net::HttpServer next(loop, stories::own_address(), [](std::unique_ptr<net::IncomingRequest>) {}, {});
-  const std::string address = stories::own_address();
+  net::HttpServer next(loop, integration::own_address(), [](std::unique_ptr<net::IncomingRequest>) {}, {});
+  const std::string address = integration::own_address();
   net::HttpServer server(loop, address,
                          [&](std::unique_ptr<net::IncomingRequest> incoming) {
                            incoming->begin(200, {{"Content-Type", "text/event-stream"}});
@@ -124,7 +124,7 @@
                            loop.stop();
                          },
                          {});
-  const auto client = stories::Wire::to(address);
+  const auto client = integration::Wire::to(address);
   client->send("POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n");
   loop.run();
   const auto enough = loop.at(loop.now() + 100ms, [&loop] { loop.stop(); });
--- a/tests/stories/accept_failure_test.cpp
+++ b/tests/integration/accept_failure_test.cpp
@@ -12,10 +12,10 @@
 #include "net/appliance/agent_check.hpp"
 #include "net/http/http_server.hpp"
 #include "net/loop/loop.hpp"
-#include "platform_world.hpp"
+#include "platform_fixture.hpp"
 
 using namespace bankmux;
-using namespace stories;
+using namespace integration;
 using namespace std::chrono_literals;
 
 namespace {
--- a/tests/stories/admission_stories.cpp
+++ b/tests/integration/admission_test.cpp
@@ -8,7 +8,7 @@
 
 #include "appliance_world.hpp"
 
-using namespace stories;
+using namespace integration;
 using nlohmann::json;
 using namespace std::chrono_literals;
 
--- a/tests/stories/appliance_stories.cpp
+++ b/tests/integration/appliance_test.cpp
@@ -6,7 +6,7 @@
 #include "app/console.hpp"
 #include "appliance_world.hpp"
 
-using namespace stories;
+using namespace integration;
 using nlohmann::json;
 
 TEST_CASE("Chat: streamed and complete answers are forwarded unchanged") {
--- a/tests/stories/appliance_world.hpp
+++ b/tests/integration/appliance_world.hpp
@@ -8,9 +8,9 @@
 #include <thread>
 
 #include "peers.hpp"
-#include "platform_world.hpp"
+#include "platform_fixture.hpp"
 
-namespace stories {
+namespace integration {
 
 inline bool has(const std::string& text, const std::string& part) {
   return text.find(part) != std::string::npos;
@@ -126,4 +126,4 @@
   std::unique_ptr<Program> program_;
 };
 
-}  // namespace stories
+}  // namespace integration
--- a/tests/stories/evhttp_stories.cpp
+++ b/tests/integration/evhttp_test.cpp
@@ -8,7 +8,7 @@
 #include "peers.hpp"
 
 using namespace bankmux;
-using namespace stories;
+using namespace integration;
 using namespace std::chrono_literals;
 
 namespace {
--- a/tests/stories/peers.cpp
+++ b/tests/integration/peers.cpp
@@ -19,7 +19,7 @@
 #include <stdexcept>
 #include <utility>
 
-namespace stories {
+namespace integration {
 
 namespace {
 
@@ -325,4 +325,4 @@
   return path;
 }
 
-}  // namespace stories
+}  // namespace integration
--- a/tests/stories/peers.hpp
+++ b/tests/integration/peers.hpp
@@ -15,7 +15,7 @@
 #include <thread>
 #include <vector>
 
-namespace stories {
+namespace integration {
 
 struct Message {
   std::string first;  // request or status line
@@ -127,4 +127,4 @@
 // Creates a file that is deleted when the test process ends.
 std::string temporary_file(const std::string& content);
 
-}  // namespace stories
+}  // namespace integration
--- a/tests/stories/platform_world.cpp
+++ b/tests/integration/platform_fixture.cpp
@@ -1,10 +1,10 @@
-#include "platform_world.hpp"
+#include "platform_fixture.hpp"
 
 #include <csignal>
 #include <cstdio>
 #include <fstream>
 
-namespace stories {
+namespace integration {
 
 using nlohmann::json;
 
@@ -160,4 +160,4 @@
          "\r\n\r\n" + body;
 }
 
-}  // namespace stories
+}  // namespace integration
--- a/tests/stories/platform_world.hpp
+++ b/tests/integration/platform_fixture.hpp
@@ -5,7 +5,7 @@
 
 #include "peers.hpp"
 
-namespace stories {
+namespace integration {
 
 // Settings of a site with prefill and decode instances, in the platform's format.
 nlohmann::json site_settings();
@@ -72,4 +72,4 @@
 std::string chunk(const std::string& data);
 std::string simple(const std::string& status, const std::string& body = "", const std::string& headers = "");
 
-}  // namespace stories
+}  // namespace integration
--- a/tests/stories/platform_stories.cpp
+++ b/tests/integration/platform_protocol_test.cpp
@@ -4,9 +4,9 @@
 #include <catch2/catch.hpp>
 #include <csignal>
 
-#include "platform_world.hpp"
+#include "platform_fixture.hpp"
 
-using namespace stories;
+using namespace integration;
 
 namespace {
 
--- a/tests/stories/crossing_stories.cpp
+++ b/tests/integration/race_condition_test.cpp
@@ -6,9 +6,9 @@
 #include <filesystem>
 #include <thread>
 
-#include "platform_world.hpp"
+#include "platform_fixture.hpp"
 
-using namespace stories;
+using namespace integration;
 using namespace std::chrono_literals;
 
 namespace {
--- a/tests/stories/repeat_stories.cpp
+++ b/tests/integration/repeat_test.cpp
@@ -8,9 +8,9 @@
 #include <set>
 #include <thread>
 
-#include "platform_world.hpp"
+#include "platform_fixture.hpp"
 
-using namespace stories;
+using namespace integration;
 using namespace std::chrono_literals;
 using Clock = std::chrono::steady_clock;
 
