--- a/tests/fleet/fleet_rig.hpp
+++ b/tests/fleet/fleet_rig.hpp
@@ -53,7 +53,7 @@
 
  private:
   void check_page(int i, const json& duties);
-  integration::Record health_checks_, requests_;
+  integration::EventLog health_checks_, requests_;
   std::vector<std::unique_ptr<integration::Peer>> instances_;
   std::vector<std::unique_ptr<integration::Appliance>> members_;
   double lease_s_;
--- a/tests/fleet/ownership_stories.cpp
+++ b/tests/fleet/ownership_stories.cpp
@@ -187,7 +187,7 @@
 
 TEST_CASE("Fleet: on the platform, and without 'coordination', no store is opened") {
   integration::Platform platform({{"a", "mixto", "127.0.0.1:1"}});
-  integration::Record seen;
+  integration::EventLog seen;
   integration::Peer box(
       integration::box(seen, [](integration::Wire&, const integration::Message&) { return true; }));
   integration::Appliance alone({box.address()});
--- a/tests/integration/admission_test.cpp
+++ b/tests/integration/admission_test.cpp
@@ -21,7 +21,7 @@
 std::string json_answer(const char* status, const std::string& body) {
   return simple(status, body, "Content-Type: application/json\r\n");
 }
-Peer::Script answering(Record& seen) {
+Peer::Script answering(EventLog& seen) {
   return box(seen, [](Wire& wire, const Message& m) {
     wire.send(json::parse(m.body).value("stream", false) ? stream_text() : json_answer("200 OK", kWhole));
     return true;
@@ -79,7 +79,7 @@
 }  // namespace
 
 TEST_CASE("Admission: keys are created, accepted, withheld from instances, limited to models, and revoked") {
-  Record seen;
+  EventLog seen;
   std::atomic<bool> key_seen{false};
   Peer one(box(seen, [&](Wire& wire, const Message& m) {
     if (m.headers.contains("authorization")) key_seen = true;
@@ -130,7 +130,7 @@
 
 TEST_CASE(
     "Admission: a key over its limits gets 429 with Retry-After, and unexecuted requests cost nothing") {
-  Record seen;
+  EventLog seen;
   std::atomic<bool> full{true};
   Peer one(box(seen, [&](Wire& wire, const Message&) {
     wire.send(full ? simple("429 Too Many Requests", "") : json_answer("200 OK", kWhole));
@@ -171,7 +171,7 @@
 TEST_CASE(
     "Admission: the same idempotency key on 50 connections at once gives one attempt, and repeats then get "
     "its answer") {
-  Record seen;
+  EventLog seen;
   std::atomic<bool> hold{true};
   Peer one(box(seen, [&](Wire& wire, const Message& m) {
     while (hold) std::this_thread::sleep_for(5ms);
@@ -214,7 +214,7 @@
 
 TEST_CASE(
     "Admission: an ajuste whose client disconnects is not run again, and a repeat gets outcome_unknown") {
-  Record seen;
+  EventLog seen;
   Peer one(box(seen, [&](Wire& wire, const Message&) {
     wire.send(stream_head() + chunk(kEvent));
     seen.add(wire.closed_within(5000) ? "attempt ended" : "attempt goes on");
@@ -248,7 +248,7 @@
 
 TEST_CASE(
     "Admission: a repeat runs a request that is proved not to have run, and never one that may have run") {
-  Record seen;
+  EventLog seen;
   std::atomic<int> step{0};
   Peer one(box(seen, [&](Wire& wire, const Message&) {
     switch (step) {
@@ -286,7 +286,7 @@
 
 TEST_CASE(
     "Admission: a stream whose key is revoked is completed, and the next request with the key is rejected") {
-  Record seen;
+  EventLog seen;
   std::atomic<bool> hold{true};
   Peer one(box(seen, [&](Wire& wire, const Message&) {
     wire.send(stream_head() + chunk(kEvent));
@@ -309,7 +309,7 @@
 }
 
 TEST_CASE("Admission: one tenant's flood of open requests leaves room for another tenant") {
-  Record seen;
+  EventLog seen;
   std::atomic<bool> hold{true};
   Peer one(box(seen, [&](Wire& wire, const Message&) {
     while (hold) std::this_thread::sleep_for(5ms);
@@ -348,7 +348,7 @@
 }
 
 TEST_CASE("Admission: an invalid key file is rejected, and a reload keeps the old keys") {
-  Record seen;
+  EventLog seen;
   Peer one(answering(seen));
   KeyFile keys;
   const std::string norte = keys.add("norte");
@@ -367,7 +367,7 @@
 }
 
 TEST_CASE("Admission: a refused retry does not refund an earlier attempt that may have run") {
-  Record seen;
+  EventLog seen;
   std::atomic<int> step{0};
   const auto script = box(seen, [&](Wire& wire, const Message&) {
     wire.send(step++ == 0 ? simple("500 Internal Server Error", "{}") : simple("429 Too Many Requests", ""));
--- a/tests/integration/appliance_test.cpp
+++ b/tests/integration/appliance_test.cpp
@@ -10,7 +10,7 @@
 using nlohmann::json;
 
 TEST_CASE("Chat: streamed and complete answers are forwarded unchanged") {
-  Record seen;
+  EventLog seen;
   Peer one(box(seen, [](Wire& wire, const Message& m) {
     if (json::parse(m.body)["stream"] == true) {
       wire.send(events({"{\"choices\":[{\"delta\":{\"content\":\"ok\"}}]}", "[DONE]"}));
@@ -31,7 +31,7 @@
 }
 
 TEST_CASE("Chat: models are listed and an invalid request gets a 400 or 404 that names the field") {
-  Record seen;
+  EventLog seen;
   Peer one(box(seen, [](Wire&, const Message&) { return false; }));
   Appliance appliance({one.address()});
   CHECK(body_of(appliance.get("/v1/models"))["data"][1]["id"] == "m-ajuste");
@@ -63,7 +63,7 @@
 
 TEST_CASE(
     "Chat: a client disconnect during a stream ends the attempt and a request with effect is not retried") {
-  Record seen;
+  EventLog seen;
   const auto chat = [&](Wire& wire, const Message&) {
     wire.send(stream_head() + chunk("data: {\"x\":1}\n\n"));
     if (wire.closed_within(3000)) seen.add("stream ended");
@@ -81,7 +81,7 @@
 }
 
 TEST_CASE("Chat: an error event after partial output is forwarded and no other answer follows") {
-  Record seen;
+  EventLog seen;
   const std::string error = R"({"error":{"message":"out of memory","type":"server_error"}})";
   const auto chat = [&](Wire& wire, const Message&) {
     wire.send(events({"{\"x\":1}", error}));
@@ -99,7 +99,7 @@
 }
 
 TEST_CASE("Chat: a stream that ends early gets an error event from the conductor") {
-  Record seen;
+  EventLog seen;
   Peer one(box(seen, [](Wire& wire, const Message&) {
     wire.send(stream_head() + chunk("data: {\"x\":1}\n\n"));
     return false;
@@ -132,7 +132,7 @@
   };
   for (const Case& c : cases) {
     for (const bool stream : {true, false}) {
-      Record seen;
+      EventLog seen;
       const auto chat = [&](Wire& wire, const Message&) {
         wire.send(simple(c.status, "{\"error\":{\"message\":\"no\"}}", c.headers));
         return true;
@@ -154,7 +154,7 @@
 }
 
 TEST_CASE("Chat: an unstreamed answer that ends early is retried if the class permits") {
-  Record seen;
+  EventLog seen;
   const auto chat = [&](Wire& wire, const Message&) {
     if (seen.count(kChat) == 1) {
       wire.send("HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\n{\"half\":");
@@ -170,7 +170,7 @@
 }
 
 TEST_CASE("Checks: agent-check, health and console reflect instance state, drains and shutdown") {
-  Record seen;
+  EventLog seen;
   Peer one(box(seen, [](Wire&, const Message&) { return false; }));
   auto two = std::make_unique<Peer>(box(seen, [](Wire&, const Message&) { return false; }));
   Appliance appliance({one.address(), two->address()});
@@ -200,7 +200,7 @@
 }
 
 TEST_CASE("A drained instance gets no new requests and the others do") {
-  Record seen;
+  EventLog seen;
   const auto recording_script = [&seen](const std::string& name) {
     return [&seen, name](Wire& wire, const Message&) {
       seen.add(name);
@@ -208,7 +208,7 @@
       return true;
     };
   };
-  Record requests;
+  EventLog requests;
   Peer one(box(requests, recording_script("one"))), two(box(requests, recording_script("two")));
   Appliance appliance({one.address(), two.address()});
   CHECK(appliance.page("POST", "/-/boxes/b1/drain").starts_with("HTTP/1.1 204"));
@@ -219,7 +219,7 @@
 }
 
 TEST_CASE("SIGHUP: the appliance reloads instances and models, keeps drains and ignores an invalid file") {
-  Record first_seen, second_seen;
+  EventLog first_seen, second_seen;
   const auto answer = [](Wire& wire, const Message&) {
     wire.send(events({"{}", "[DONE]"}));
     return true;
--- a/tests/integration/appliance_world.hpp
+++ b/tests/integration/appliance_world.hpp
@@ -30,7 +30,7 @@
 // Script of a fake model-server instance, based on the public description of the API. Answers health checks,
 // records the first line of every other request and passes the request to `chat`, which returns whether to
 // keep the connection.
-inline Peer::Script box(Record& seen, const std::function<bool(Wire&, const Message&)>& chat) {
+inline Peer::Script box(EventLog& seen, const std::function<bool(Wire&, const Message&)>& chat) {
   return [&seen, chat](Wire& wire) {
     while (const auto request = wire.receive()) {
       if (request->first.starts_with("GET /v1/models")) {
--- a/tests/integration/chat_test.cpp
+++ b/tests/integration/chat_test.cpp
@@ -16,7 +16,7 @@
 
 std::string whole_stream() { return stream_head() + chunk(kEvent) + chunk("data: [DONE]\n\n") + "0\r\n\r\n"; }
 
-Peer::Script answering(Record& seen) {
+Peer::Script answering(EventLog& seen) {
   return box(seen, [](Wire& wire, const Message& m) {
     if (json::parse(m.body).value("stream", false)) {
       wire.send(whole_stream());
@@ -30,7 +30,7 @@
 }  // namespace
 
 TEST_CASE("Chat: a stream cut at any byte gives complete events, then the error event, never half a line") {
-  Record seen;
+  EventLog seen;
   const std::string cut_event = "data: {\"choices\":[{\"delta\":{\"content\":\"never whole\"}}]}\n\n";
   std::atomic<std::size_t> cut{0};
   Peer one(box(seen, [&](Wire& wire, const Message&) {
@@ -51,10 +51,10 @@
 }
 
 TEST_CASE("Chat: a stream end that is split within its last line end reaches the client complete") {
-  Record seen;
+  EventLog seen;
   const std::string first = "data: {\"choices\":[]}\r\n\r\n", last = "data: [DONE]\r\n\r\n";
   for (std::size_t cut = last.size() - 4; cut < last.size(); ++cut) {
-    Record client_progress;
+    EventLog client_progress;
     Peer one(box(seen, [&](Wire& wire, const Message&) {
       wire.send(stream_head() + chunk(first) + chunk(last.substr(0, cut)));
       if (!client_progress.wait_for("has the first")) return false;
@@ -73,7 +73,7 @@
 }
 
 TEST_CASE("Chat: a slow client applies back-pressure to its instance and still receives every byte") {
-  Record seen;
+  EventLog seen;
   constexpr std::size_t kEvents = 4000, kSize = 8192;  // 32 MB
   std::atomic<std::size_t> sent{0};
   const std::string event = "data: {\"x\":\"" + std::string(kSize, 'x') + "\"}\n\n";
@@ -104,7 +104,7 @@
 }
 
 TEST_CASE("Chat: a consulta that fails at one instance is retried at the idle one every time") {
-  Record good, bad;
+  EventLog good, bad;
   Peer failing(box(bad, [](Wire& wire, const Message&) {
     wire.send(simple("500 Internal Server Error", "{\"error\":{\"message\":\"x\"}}"));
     return true;
@@ -118,7 +118,7 @@
 }
 
 TEST_CASE("Chat: a client that sends 12 MB before it reads still receives its 413") {
-  Record seen;
+  EventLog seen;
   Peer one(answering(seen));
   Appliance appliance({one.address()});
   const auto client = appliance.connect();
@@ -133,7 +133,7 @@
 
 TEST_CASE(
     "Chat: prompts of 6 MB are served until body memory is used up, and then one gets 503 with Retry-After") {
-  Record seen;
+  EventLog seen;
   Peer one(box(seen, [](Wire& wire, const Message&) {
     std::this_thread::sleep_for(400ms);
     wire.send(simple("200 OK", "{\"choices\":[]}"));
@@ -159,7 +159,7 @@
 }
 
 TEST_CASE("Chat: 10,000 malformed requests each get an error or a close, and none reaches an instance") {
-  Record seen;
+  EventLog seen;
   Peer one(answering(seen));
   Appliance appliance({one.address()});
   std::mt19937 random(20261201);
@@ -226,7 +226,7 @@
 
 TEST_CASE(
     "Chat: 300 clients at once, a third hostile, one instance stops, one drains: valid ones are served") {
-  Record seen;
+  EventLog seen;
   Peer first(answering(seen)), third(answering(seen));
   auto stopped = std::make_unique<Peer>(answering(seen));
   Appliance appliance({first.address(), stopped->address(), third.address()}, {{"idle_timeout_s", 1}});
@@ -251,7 +251,7 @@
     });
   }
   std::atomic<int> served{0};
-  Record other_answers;
+  EventLog other_answers;
   const auto run_valid_clients = [&] {
     std::vector<std::thread> valid_clients;
     for (int i = 0; i < 100; ++i) {
--- a/tests/integration/delayed_loop_test.cpp
+++ b/tests/integration/delayed_loop_test.cpp
@@ -41,7 +41,7 @@
 
 TEST_CASE(
     "Pool: a request is served even if the idle timeout of its connection expires in the same iteration") {
-  Record seen;
+  EventLog seen;
   Peer instance([&seen](Wire& wire) {
     seen.add("connection");
     while (const auto request = wire.receive()) {
@@ -136,7 +136,7 @@
 TEST_CASE(
     "Attempt: the remaining time sent to an instance is that at the first byte, not before the connect") {
   constexpr core::Duration kTimeLeft = 2s, kDelay = 400ms;
-  Record received;
+  EventLog received;
   Peer instance([&received](Wire& wire) {
     const auto request = wire.receive();
     if (!request) return;
--- a/tests/integration/operations_test.cpp
+++ b/tests/integration/operations_test.cpp
@@ -14,7 +14,7 @@
 namespace {
 
 // Script of an instance for prefill and decode that answers every request and records its own name for each.
-Peer::Script answering_instance(Record& seen, const std::string& name) {
+Peer::Script answering_instance(EventLog& seen, const std::string& name) {
   return [&seen, name](Wire& wire) {
     while (const auto request = wire.receive()) {
       if (request->first.starts_with("POST /v1")) seen.add(name);
@@ -63,7 +63,7 @@
 }  // namespace
 
 TEST_CASE("The management address answers only its own calls and silent connections do not block it") {
-  Record seen;
+  EventLog seen;
   Peer a(answering_instance(seen, "a"));
   ManagedConductor conductor({{"a", "mixto", a.address()}});
   std::vector<std::unique_ptr<Wire>> silent_connections;
@@ -100,7 +100,7 @@
 }
 
 TEST_CASE("Metrics match known traffic") {
-  Record seen;
+  EventLog seen;
   Peer a(answering_instance(seen, "a"));
   Peer broken([](Wire& wire) {
     while (wire.receive()) wire.send(simple("500 Internal Server Error"));
@@ -123,7 +123,7 @@
 }
 
 TEST_CASE("A disabled instance gets no requests until it is enabled once, whatever discovery lists") {
-  Record seen;
+  EventLog seen;
   Peer a(answering_instance(seen, "a")), b(answering_instance(seen, "b"));
   const std::vector<Platform::Instance> both{{"a", "mixto", a.address()}, {"b", "mixto", b.address()}};
   ManagedConductor conductor(both);
@@ -145,7 +145,7 @@
 
 TEST_CASE(
     "A drained conductor is not ready, closes idle connections, still answers requests and can be resumed") {
-  Record seen;
+  EventLog seen;
   Peer a(answering_instance(seen, "a"));
   ManagedConductor conductor({{"a", "mixto", a.address()}});
   const std::string ready = "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n";
@@ -166,7 +166,7 @@
 }
 
 TEST_CASE("A new process takes over the passed socket without failed requests and keeps instances disabled") {
-  Record seen;
+  EventLog seen;
   Peer a(answering_instance(seen, "a"));
   Peer slow([&seen](Wire& wire) {
     while (const auto request = wire.receive()) {
@@ -211,7 +211,7 @@
 
 // Script of an instance that starts a stream, waits for "go on" in the record, and then sends the rest byte
 // by byte or, with `breaks`, closes the connection.
-Peer::Script slow_instance(Record& seen, bool breaks = false) {
+Peer::Script slow_instance(EventLog& seen, bool breaks = false) {
   return [&seen, breaks](Wire& wire) {
     while (const auto request = wire.receive()) {
       if (!request->first.starts_with("POST /v1")) {
@@ -260,7 +260,7 @@
 }  // namespace
 
 TEST_CASE("Running streams and their client connections continue in the next process without loss") {
-  Record seen;
+  EventLog seen;
   Peer slow(slow_instance(seen));
   ManagedConductor conductor({{"s", "mixto", slow.address()}}, true);
   constexpr int kStreams = 40;
@@ -291,7 +291,7 @@
 }
 
 TEST_CASE("A handed-over stream whose instance fails is cut off without a final chunk") {
-  Record seen;
+  EventLog seen;
   Peer slow(slow_instance(seen, true));
   ManagedConductor conductor({{"s", "mixto", slow.address()}}, true);
   const auto client = conductor.platform.connect();
@@ -307,7 +307,7 @@
 
 TEST_CASE(
     "Without a next process a stream ends in its own and only a passed socket opens the handover socket") {
-  Record seen;
+  EventLog seen;
   Peer slow(slow_instance(seen));
   for (const bool passed : {true, false}) {
     ManagedConductor conductor({{"s", "mixto", slow.address()}}, passed);
--- a/tests/integration/peers.cpp
+++ b/tests/integration/peers.cpp
@@ -199,28 +199,28 @@
   for (std::thread& connection : connections_) connection.join();
 }
 
-void Record::add(const std::string& what) {
+void EventLog::add(const std::string& what) {
   const std::lock_guard lock(mutex_);
   seen_.push_back(what);
   changed_.notify_all();
 }
 
-bool Record::wait_for(const std::string& what, int count, int ms) {
+bool EventLog::wait_for(const std::string& what, int count, int ms) {
   std::unique_lock lock(mutex_);
   return changed_.wait_for(lock, ms * 1ms, [&] { return std::ranges::count(seen_, what) >= count; });
 }
 
-int Record::count(const std::string& what) {
+int EventLog::count(const std::string& what) {
   const std::lock_guard lock(mutex_);
   return int(std::ranges::count(seen_, what));
 }
 
-void Record::clear() {
+void EventLog::clear() {
   const std::lock_guard lock(mutex_);
   seen_.clear();
 }
 
-std::vector<std::string> Record::all() {
+std::vector<std::string> EventLog::all() {
   const std::lock_guard lock(mutex_);
   return seen_;
 }
--- a/tests/integration/peers.hpp
+++ b/tests/integration/peers.hpp
@@ -81,7 +81,7 @@
 };
 
 // Thread-safe list of the events that peers observed, in order, with waiting for an event.
-class Record {
+class EventLog {
  public:
   void add(const std::string& what);
   bool wait_for(const std::string& what, int count = 1, int ms = 5000);
--- a/tests/integration/platform_fixture.hpp
+++ b/tests/integration/platform_fixture.hpp
@@ -41,7 +41,7 @@
   [[nodiscard]] std::string ask(const std::string& request) const;
   [[nodiscard]] const std::string& address() const { return listen_; }
 
-  Record watches;  // request lines of the watches opened
+  EventLog watches;  // request lines of the watches opened
   Program& program() { return *program_; }
   // Starts a second process of the program; its variables are those of the first, and `over` adds others.
   [[nodiscard]] std::unique_ptr<Program> start(const std::map<std::string, std::string>& over) const;
--- a/tests/integration/platform_protocol_test.cpp
+++ b/tests/integration/platform_protocol_test.cpp
@@ -15,7 +15,7 @@
 }
 
 // Instance that answers requests on a kept connection through `reply`, and records their method and target.
-Peer::Script scripted_instance(Record& seen, const std::function<bool(Wire&, const Message&)>& reply) {
+Peer::Script scripted_instance(EventLog& seen, const std::function<bool(Wire&, const Message&)>& reply) {
   return [&seen, reply](Wire& wire) {
     while (const auto request = wire.receive()) {
       seen.add(request->first.substr(0, request->first.rfind(' ')));
@@ -37,7 +37,7 @@
 
 TEST_CASE(
     "A request is prefilled, its decode instance claimed early, and decoded, with its content unchanged") {
-  Record seen;
+  EventLog seen;
   Message prefill_request, decode_request;
   Peer prefill_instance(scripted_instance(seen, [&](Wire& wire, const Message& m) {
     prefill_request = m;
@@ -79,7 +79,7 @@
 // Guards against requests of all tenants counting under the first tenant's name: they would exceed its share
 // and be queued behind all others.
 TEST_CASE("X-Org selects the tenant by its name in the settings") {
-  Record seen;
+  EventLog seen;
   Peer decode_instance(scripted_instance(seen, [&](Wire& wire, const Message&) {
     wire.send(events({"{\"x\":1}", "[DONE]"}));
     return true;
@@ -104,7 +104,7 @@
 }
 
 TEST_CASE("A client that leaves during the prefill ends it at once, and the held KV cache is released") {
-  Record seen;
+  EventLog seen;
   Peer prefill_instance(scripted_instance(seen, [&](Wire& wire, const Message&) {
     if (wire.closed_within(3000)) seen.add("read ended");
     return false;
@@ -125,7 +125,7 @@
 }
 
 TEST_CASE("An ajuste that may have run is not retried, even if a kept connection broke") {
-  Record seen;
+  EventLog seen;
   Peer decode_instance(scripted_instance(seen, [&](Wire& wire, const Message&) {
     if (seen.count(kChat) == 1) {
       wire.send(events({"[DONE]"}));
@@ -142,7 +142,7 @@
 }
 
 TEST_CASE("A consulta is retried at another instance after a reset") {
-  Record seen;
+  EventLog seen;
   const auto reply = [&](Wire& wire, const Message&) {
     if (seen.count(kChat) == 1) {
       wire.reset();
@@ -158,7 +158,7 @@
 }
 
 TEST_CASE("An ajuste whose last byte was never written has not run and is retried elsewhere") {
-  Record seen;
+  EventLog seen;
   // Its socket buffers are smaller than the request; it reads nothing and then resets the connection.
   Peer stuck(
       [&](Wire& wire) {
@@ -181,7 +181,7 @@
 }
 
 TEST_CASE("A stream that breaks ends without the final chunk") {
-  Record seen;
+  EventLog seen;
   Peer decode_instance(scripted_instance(seen, [](Wire& wire, const Message&) {
     wire.send(stream_head() + chunk("data: {\"x\":1}\n\n"));
     std::this_thread::sleep_for(std::chrono::milliseconds(50));
@@ -195,7 +195,7 @@
 }
 
 TEST_CASE("Events are forwarded as they arrive, not at the end of the stream") {
-  Record seen;
+  EventLog seen;
   Peer decode_instance(scripted_instance(seen, [&](Wire& wire, const Message&) {
     wire.send(stream_head() + chunk("data: one\n\n"));
     seen.wait_for("client has one");
@@ -211,7 +211,7 @@
 }
 
 TEST_CASE("With a silent instance, the client gets one answer at its deadline and the attempt is closed") {
-  Record seen;
+  EventLog seen;
   Peer decode_instance(scripted_instance(seen, [&](Wire& wire, const Message&) {
     if (wire.closed_within(5000)) seen.add("attempt closed");
     return false;
@@ -227,7 +227,7 @@
 }
 
 TEST_CASE("A release is retried until it is answered") {
-  Record seen;
+  EventLog seen;
   Peer prefill_instance([&](Wire& wire) {
     const auto request = wire.receive();
     if (!request) return;
@@ -254,7 +254,7 @@
 }
 
 TEST_CASE("A refusal by overloaded instances is passed on with Retry-After") {
-  Record seen;
+  EventLog seen;
   Peer decode_instance(scripted_instance(seen, [](Wire& wire, const Message&) {
     wire.send(simple("503 Service Unavailable", "", "X-Turned-Away: 1\r\n"));
     return true;
@@ -266,7 +266,7 @@
 }
 
 TEST_CASE("Requests that violate the protocol get 400 or 413, and the program keeps serving") {
-  Record seen;
+  EventLog seen;
   Peer decode_instance(scripted_instance(seen, [](Wire& wire, const Message&) {
     wire.send(events({"[DONE]"}));
     return true;
@@ -304,7 +304,7 @@
 TEST_CASE(
     "A drain stops new work, and a malformed line leaves the list unchanged, "
     "and a broken watch is reopened") {
-  Record seen;
+  EventLog seen;
   const auto record_requests = [&seen](const std::string& name) {
     return [&seen, name](Wire& wire) {
       while (wire.receive()) {
@@ -345,7 +345,7 @@
 // missed changes for 10 s and sent a request to an instance 1.3 s after its drain grace.
 TEST_CASE(
     "A silent discovery is soon called again in any size of fleet, and its changes take effect at once") {
-  Record first, second;
+  EventLog first, second;
   const auto serves = [](Wire& wire, const Message&) {
     wire.send(events({"{\"x\":1}", "[DONE]"}));
     return true;
@@ -373,7 +373,7 @@
 }
 
 TEST_CASE("A discovery that refuses calls is called at growing intervals, and the watch is reopened later") {
-  Record seen;
+  EventLog seen;
   Peer one([&seen](Wire& wire) {
     while (wire.receive()) {
       seen.add("one");
@@ -401,7 +401,7 @@
 // If the connection of a stream that ends during the shutdown were kept, it could bring a request for which
 // there is no time left.
 TEST_CASE("SIGTERM: a connection closes with the end of its stream and takes no further request") {
-  Record seen;
+  EventLog seen;
   Peer decode_instance(scripted_instance(seen, [&](Wire& wire, const Message&) {
     wire.send(stream_head() + chunk("data: 1\n\n"));
     if (!seen.wait_for("told")) return false;
@@ -426,7 +426,7 @@
 // If such requests were left until the process is killed, a KV cache would stay held and the client would get
 // no response.
 TEST_CASE("SIGTERM: unanswered requests are ended in time, and their held KV caches are released") {
-  Record seen;
+  EventLog seen;
   Peer prefill_instance(scripted_instance(seen, [&](Wire& wire, const Message&) {
     (void)wire.closed_within(9000);  // never answers
     return false;
@@ -450,7 +450,7 @@
 }
 
 TEST_CASE("SIGTERM: accepted requests and late connections are answered, then the program exits with 0") {
-  Record seen;
+  EventLog seen;
   Peer decode_instance(scripted_instance(seen, [&](Wire& wire, const Message& m) {
     if (m.headers.at("x-txn") == "slow") seen.wait_for("late one answered");
     wire.send(events({"[DONE]"}));
@@ -496,7 +496,7 @@
 }
 
 TEST_CASE("After a kept connection has broken under a request, an ajuste is sent on new connections only") {
-  Record seen;
+  EventLog seen;
   // Answers the first request of each connection and resets the connection at the second one.
   Peer only([&](Wire& wire) {
     for (int asked = 0; const auto request = wire.receive(); ++asked) {
@@ -528,7 +528,7 @@
 TEST_CASE(
     "A malformed response is a failed attempt that may have run, and malformed input "
     "after the first event ends the stream") {
-  Record seen;
+  EventLog seen;
   const std::map<std::string, std::string> spoilt = {
       {"noise", "\x16\x03 noise"},
       {"unending", "HTTP/1.1 200 OK\r\nX-More: "},
@@ -592,7 +592,7 @@
 
 TEST_CASE(
     "Faulty requests of one client affect neither the health of an instance nor other clients' requests") {
-  Record seen;
+  EventLog seen;
   std::atomic<bool> go_on{false};
   Peer only(scripted_instance(seen, [&](Wire& wire, const Message& m) {
     if (m.headers.at("x-txn") == "w") {
@@ -626,7 +626,7 @@
 }
 
 TEST_CASE("SIGHUP: a faulty file changes nothing, a valid one moves the watch, and no request is lost") {
-  Record seen, watches, last_watches;
+  EventLog seen, watches, last_watches;
   std::atomic<bool> go_on{false};
   Peer old_instance(scripted_instance(seen, [&](Wire& wire, const Message&) {
     wire.send(stream_head() + chunk("data: 1\n\n"));
@@ -643,7 +643,7 @@
     return true;
   }));
   // Discovery services whose version numbers are lower than those that the program has seen.
-  const auto discovery_with = [](Record& watched, const Peer& instance) {
+  const auto discovery_with = [](EventLog& watched, const Peer& instance) {
     return [&](Wire& wire) {
       const auto request = wire.receive();
       wire.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" +
--- a/tests/integration/race_condition_test.cpp
+++ b/tests/integration/race_condition_test.cpp
@@ -21,7 +21,7 @@
 }
 
 // Answers every request on each connection with one event, and records the X-Txn or the request line.
-Peer::Script serve_requests(Record& seen) {
+Peer::Script serve_requests(EventLog& seen) {
   return [&seen](Wire& wire) {
     while (const auto request = wire.receive()) {
       const auto txn = request->headers.find("x-txn");
@@ -53,7 +53,7 @@
 TEST_CASE("Crossing: a client that leaves while its request waits is noticed, and its request is not sent") {
   for (const char* how : {"closes", "half-closes", "closes behind much else"}) {
     CAPTURE(how);
-    Record seen;
+    EventLog seen;
     Peer instance(serve_requests(seen));
     Platform platform({});
     const auto client = platform.connect();
@@ -77,7 +77,7 @@
 // The connection used to be closed at once. Input that arrived meanwhile then reset it, and the rest of the
 // response was lost.
 TEST_CASE("Crossing: input that arrives during the last response does not destroy the response") {
-  Record seen;
+  EventLog seen;
   const std::string text(200 * 1024, 'y');
   Peer instance([&](Wire& wire) {
     if (!wire.receive()) return;
@@ -98,7 +98,7 @@
 }
 
 TEST_CASE("Crossing: a late duplicate response is not taken for the response to the next request") {
-  Record seen;
+  EventLog seen;
   Peer instance([&](Wire& wire) {
     std::optional<std::chrono::steady_clock::time_point> answered;
     while (const auto request = wire.receive()) {
@@ -123,7 +123,7 @@
 
 // Simulates the duplicate answer to a probe or claim, as an attempt on the reused connection would see it.
 TEST_CASE("Crossing: a 200 that is no event stream is not accepted as an answer") {
-  Record seen;
+  EventLog seen;
   Peer instance([&](Wire& wire) {
     if (!wire.receive()) return;
     seen.add("asked");
@@ -137,7 +137,7 @@
 }
 
 TEST_CASE("Crossing: a refusal with an incomplete body ends its attempt soon, and another instance serves") {
-  Record seen;
+  EventLog seen;
   Peer stuck([&](Wire& wire) {
     if (!wire.receive()) return;
     seen.add("refused");
@@ -158,7 +158,7 @@
 // ---- Shutdown ----
 
 TEST_CASE("Crossing: a second SIGTERM ends no accepted request") {
-  Record seen;
+  EventLog seen;
   Peer instance([&](Wire& wire) {
     if (!wire.receive()) return;
     seen.add("taken");
@@ -179,7 +179,7 @@
 }
 
 TEST_CASE("Crossing: a second SIGINT refuses requests that have not begun and ends the program") {
-  Record seen;
+  EventLog seen;
   Peer instance([&](Wire& wire) {
     if (!wire.receive()) return;
     seen.add("taken");
@@ -198,7 +198,7 @@
 }
 
 TEST_CASE("Crossing: connections in the backlog when accepting stops are answered") {
-  Record seen;
+  EventLog seen;
   Peer instance(serve_requests(seen));
   Platform platform({{"w", "mixto", instance.address()}});
   signal_shutdown(platform, SIGTERM);
@@ -217,7 +217,7 @@
 }
 
 TEST_CASE("Crossing: a request that arrives as its idle connection is closed is sent to no instance") {
-  Record seen;
+  EventLog seen;
   Peer instance(serve_requests(seen));
   Platform platform({{"w", "mixto", instance.address()}});
   const auto resting = platform.connect();
@@ -234,7 +234,7 @@
 
 // A request that arrives while its new connection is closed for silence would be lost if it were read.
 TEST_CASE("Crossing: a request that arrives as its silent connection is closed is not read") {
-  Record seen;
+  EventLog seen;
   Peer instance(serve_requests(seen));
   Platform platform({{"w", "mixto", instance.address()}});
   const auto silent = platform.connect();
@@ -259,7 +259,7 @@
 // ---- The list ----
 
 TEST_CASE("Crossing: an indented list that arrives in pieces is accepted like any other") {
-  Record seen;
+  EventLog seen;
   Peer one(serve_requests(seen)), two(serve_requests(seen));
   Platform platform({{"w1", "mixto", "127.0.0.1:1"}});
   REQUIRE(platform.watches.wait_for("GET /api/targets?follow=1&since=1 HTTP/1.1"));
@@ -305,7 +305,7 @@
   static void refused(Wire& wire) {
     wire.send("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\nConnection: close\r\n\r\n");
   }
-  Record seen;
+  EventLog seen;
   std::atomic<std::size_t> number{0};
   Peer peer;
 };
@@ -313,7 +313,7 @@
 // If the new discovery were still treated as the shared service of a large fleet, a silent call would last 3
 // s and the following wait up to 6 s.
 TEST_CASE("Crossing: a new discovery after SIGHUP is called without regard to refusals of the old one") {
-  Record seen;
+  EventLog seen;
   Peer instance(serve_requests(seen));
   nlohmann::json site = site_settings();
   site["nInstances"] = 50;
@@ -341,7 +341,7 @@
 
 TEST_CASE(
     "Crossing: a refusal after the end of a working watch counts as the first failure, not the second") {
-  Record seen;
+  EventLog seen;
   Peer instance(serve_requests(seen));
   const Platform::Instance w{"w", "mixto", instance.address()};
   ScriptedDiscovery moved(
@@ -364,7 +364,7 @@
 }
 
 TEST_CASE("Crossing: idle clients that use up their descriptors leave enough for discovery and instances") {
-  Record seen;
+  EventLog seen;
   Peer instance(serve_requests(seen));
   // A request waits while an instance is listed, even one that refuses connections.
   Platform platform({{"gone", "mixto", "127.0.0.1:1"}});
@@ -392,7 +392,7 @@
   for (const char* part :
        {"d", "data: {\"choices\":", "data: 1\n", ": a comment\n\n", ": a comment\n\ndata"}) {
     CAPTURE(part);
-    Record seen;
+    EventLog seen;
     Peer breaks([&](Wire& wire) {
       const auto request = wire.receive();
       if (!request) return;
@@ -416,7 +416,7 @@
 }
 
 TEST_CASE("Crossing: a request that must not be repeated and breaks off within its first event fails") {
-  Record seen;
+  EventLog seen;
   Peer breaks([&](Wire& wire) {
     if (!wire.receive()) return;
     seen.add("breaks");
@@ -460,7 +460,7 @@
 
 TEST_CASE(
     "Crossing: each event is forwarded within 0.3 s, even if split, while other clients flood and leave") {
-  Record seen;
+  EventLog seen;
   constexpr int kEvents = 20;
   Peer instance([&](Wire& wire) {
     if (!wire.receive()) return;
@@ -499,7 +499,7 @@
 // ---- Other settings ----
 
 TEST_CASE("Crossing: missing, zero or very short settings are served for every effect of a class") {
-  Record seen;
+  EventLog seen;
   Peer instance(serve_requests(seen));
   const auto site = [](const std::string& pointer, const nlohmann::json& value) {
     nlohmann::json settings = site_settings();
--- a/tests/integration/recovery_test.cpp
+++ b/tests/integration/recovery_test.cpp
@@ -103,7 +103,7 @@
 TEST_CASE(
     "Recovery: for a decode instance killed at any byte of its stream the client receives the text of an "
     "undisturbed run") {
-  Record seen;
+  EventLog seen;
   const std::string whole = all_of(events_after(""));
   const std::size_t first = events_after("")[0].size(),
                     last = whole.size() - std::string("data: [DONE]\n\n").size();
@@ -142,7 +142,7 @@
 }
 
 TEST_CASE("Recovery: an ajuste is never continued and reaches no second instance") {
-  Record seen;
+  EventLog seen;
   const auto script = box(seen, [&](Wire& wire, const Message&) {
     wire.send(stream_head() + chunk(events_after("")[0] + events_after("")[1]));
     wire.reset();
@@ -158,7 +158,7 @@
 
 TEST_CASE(
     "Recovery: a third instance continues if the second fails too, and without one the stream is broken") {
-  Record seen;
+  EventLog seen;
   std::atomic<int> deaths{2};
   const auto script = box(seen, [&](Wire& wire, const Message& m) {
     const auto events = events_after(written_in(m));
@@ -186,7 +186,7 @@
 TEST_CASE(
     "Recovery: an instance that does not support continuation or starts over does not corrupt the answer") {
   for (const bool rejects : {true, false}) {
-    Record seen;
+    EventLog seen;
     std::atomic<bool> first{true};
     const auto script = box(seen, [&](Wire& wire, const Message&) {
       const auto events = events_after("");
@@ -220,7 +220,7 @@
 TEST_CASE(
     "Recovery: the connection to a frozen instance is closed, and nothing that it sends later reaches the "
     "client") {
-  Record seen;
+  EventLog seen;
   std::atomic<bool> first{true};
   const auto script = box(seen, [&](Wire& wire, const Message& m) {
     const auto events = events_after(written_in(m));
@@ -247,7 +247,7 @@
 
 TEST_CASE(
     "Recovery: a client that disconnects during recovery ends the attempt, and no further one is made") {
-  Record seen;
+  EventLog seen;
   std::atomic<bool> first{true};
   const auto script = box(seen, [&](Wire& wire, const Message& m) {
     const auto events = events_after(written_in(m));
@@ -272,7 +272,7 @@
 }
 
 TEST_CASE("Recovery: without the continuation setting a lost stream ends broken") {
-  Record seen;
+  EventLog seen;
   const auto script = box(seen, [&](Wire& wire, const Message&) {
     wire.send(stream_head() + chunk(events_after("")[0] + events_after("")[1]));
     wire.reset();
--- a/tests/integration/repeat_test.cpp
+++ b/tests/integration/repeat_test.cpp
@@ -34,7 +34,7 @@
 // Guards against a duplicate refusal, written milliseconds after the first on the same connection, being
 // taken as proof that the next request on that connection had not run.
 TEST_CASE("Repeat: a late duplicate of a refusal is not applied to the next request") {
-  Record seen;
+  EventLog seen;
   std::atomic<bool> refused{false};
   Peer prefill(serve_prefill);
   Peer decode([&](Wire& wire) {
@@ -110,7 +110,7 @@
 // Guards against an instance whose list entry has no kind being taken for a prefill instance: an attempt
 // there has no effect, so it was followed by another one.
 TEST_CASE("Repeat: an instance without a kind in the list is not taken for a prefill instance") {
-  Record seen;
+  EventLog seen;
   Peer resetting([&](Wire& wire) {
     if (const auto message = wire.receive(); message && is_request(*message)) seen.add("executed");
     wire.reset();
