--- a/bench/ajuste_day.cpp
+++ b/bench/ajuste_day.cpp
@@ -44,7 +44,7 @@
 // Simulated instance: executes complete requests and fails at random: 4% answer 500, 4% reset the connection
 // after execution, 4% reject the request.
 Peer::Script simulated_instance(ExecutionCounts& runs, unsigned seed) {
-  return [&runs, seed, connections = std::make_shared<std::atomic<unsigned>>(0)](Wire& wire) {
+  return [&runs, seed, connections = std::make_shared<std::atomic<unsigned>>(0)](TestConnection& wire) {
     std::mt19937 random(seed + 7919 * ++*connections);
     while (const auto request = wire.receive()) {
       if (request->first.starts_with("GET ")) {
@@ -78,7 +78,7 @@
   const std::string body =
       json{{"model", "ajuste"}, {"messages", {{{"role", "user"}, {"content", name}}}}}.dump();
   for (int repeat = 0; repeat <= kRetries; ++repeat) {
-    const auto wire = Wire::to(address);
+    const auto wire = TestConnection::to(address);
     wire->send(
         "POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nConnection: close\r\nIdempotency-Key: stainless-" +
         name + "\r\nx-stainless-retry-count: " + std::to_string(repeat) +
--- a/bench/chat_load.cpp
+++ b/bench/chat_load.cpp
@@ -47,7 +47,7 @@
   return resident * double(sysconf(_SC_PAGESIZE)) / 1e6;
 }
 
-void serve_instance(Wire& wire) {
+void serve_instance(TestConnection& wire) {
   const std::string event = chunk(
       "data: {\"choices\":[{\"index\":0,\"delta\":{\"content\":\"some "
       "words\"},\"finish_reason\":null}]}\n\n");
@@ -92,7 +92,7 @@
   for (int i = 0; i < kClients; ++i) {
     clients.emplace_back([&] {
       while (left-- > 0) {
-        const auto wire = Wire::to(address);
+        const auto wire = TestConnection::to(address);
         std::string headers;
         if (!key.empty()) {
           headers =
@@ -135,9 +135,9 @@
   }
   const double before = resident_mb(program.pid());
   std::printf("after %5d         %8.1f MB resident\n", 2 * requests, before);
-  std::vector<std::unique_ptr<Wire>> open;
+  std::vector<std::unique_ptr<TestConnection>> open;
   for (int i = 0; i < large_open; ++i) {
-    open.push_back(Wire::to(address));
+    open.push_back(TestConnection::to(address));
     open.back()->send(request(body(false, kLargeBodyBytes)));
   }
   if (large_open > 0) std::this_thread::sleep_for(std::chrono::seconds(1));
--- a/bench/lost_streams.cpp
+++ b/bench/lost_streams.cpp
@@ -40,7 +40,7 @@
 // Simulated instance: continues after the words that the request already contains. `reset_after` returns the
 // number of words after which it resets the connection; negative: never.
 Peer::Script simulated_instance(const std::function<int()>& reset_after, const std::atomic<bool>& down) {
-  return [reset_after, &down](Wire& wire) {
+  return [reset_after, &down](TestConnection& wire) {
     while (const auto request = wire.receive()) {
       if (request->first.starts_with("GET ")) {
         wire.send("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}");
@@ -74,7 +74,7 @@
 void ask(const std::string& address, Totals& totals) {
   const std::string body =
       json{{"model", "m"}, {"stream", true}, {"messages", {{{"role", "user"}, {"content", "go"}}}}}.dump();
-  const auto wire = Wire::to(address);
+  const auto wire = TestConnection::to(address);
   wire->send("POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nConnection: close\r\nContent-Length: " +
              std::to_string(body.size()) + "\r\n\r\n" + body);
   if (wire->receive_head().status() != 200) {
--- a/tests/conformance/main.cpp
+++ b/tests/conformance/main.cpp
@@ -24,7 +24,8 @@
 class ScriptedInstances {
  public:
   ScriptedInstances()
-      : one_([this](Wire& wire) { serve(wire); }), two_([this](Wire& wire) { serve(wire); }) {}
+      : one_([this](TestConnection& wire) { serve(wire); }),
+        two_([this](TestConnection& wire) { serve(wire); }) {}
   [[nodiscard]] std::vector<std::string> addresses() const { return {one_.address(), two_.address()}; }
   void begin(const json& script) {
     const std::lock_guard lock(mutex_);
@@ -43,7 +44,7 @@
     if (script_.empty()) return {{"status", 500}, {"body", "no script"}};
     return script_[std::min(requests_.size(), script_.size()) - 1];
   }
-  void serve(Wire& wire) {
+  void serve(TestConnection& wire) {
     while (const auto request = wire.receive()) {
       if (request->first.starts_with("GET ")) {
         wire.send("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}");
@@ -58,7 +59,7 @@
     return size + bytes + "\r\n";
   }
   // False if the connection ends with the answer.
-  static bool answer(Wire& wire, const json& step) {
+  static bool answer(TestConnection& wire, const json& step) {
     if (step.value("silent", false)) return wire.closed_within(10'000) && false;
     const bool stream = step.contains("events") || step.contains("pieces");
     std::string head = "HTTP/1.1 " + std::to_string(step.value("status", 200)) + " Status\r\n";
@@ -140,7 +141,7 @@
         std::map<std::string, std::string>{});
     program_->expect_listening(address_);
   }
-  [[nodiscard]] std::unique_ptr<Wire> connect() const { return Wire::to(address_); }
+  [[nodiscard]] std::unique_ptr<TestConnection> connect() const { return TestConnection::to(address_); }
 
  private:
   std::string address_ = own_address();
@@ -363,7 +364,7 @@
     if (c.contains("expect")) merge_expected(expect, c["expect"]);
     if (c.contains("param")) expect["error"]["param"] = c["param"];  // shorthand: the invalid field
     // Further clients with the same request that stay open meanwhile; their instances do not answer.
-    std::vector<std::unique_ptr<Wire>> concurrent;
+    std::vector<std::unique_ptr<TestConnection>> concurrent;
     for (int i = 0; i < c.value("crowd", 0); ++i) {
       concurrent.push_back(program->connect());
       concurrent.back()->send(request_text(c, defaults));
--- a/tests/faults/held_release_test.cpp
+++ b/tests/faults/held_release_test.cpp
@@ -28,7 +28,7 @@
 
   // Opens connections to every server, which stay idle afterwards.
   void warm_up() {
-    std::vector<std::unique_ptr<integration::Wire>> clients;
+    std::vector<std::unique_ptr<integration::TestConnection>> clients;
     for (int i = 0; i < 12; ++i) {
       clients.push_back(platform.connect());
       clients.back()->send(client_request("warm" + std::to_string(i), "consulta", 5000, 3000));
--- a/tests/faults/soak.cpp
+++ b/tests/faults/soak.cpp
@@ -21,7 +21,7 @@
 using Kind = HistoryEvent::Kind;
 using integration::Platform;
 using integration::Program;
-using integration::Wire;
+using integration::TestConnection;
 
 namespace {
 
@@ -89,7 +89,7 @@
   Conductor(const std::vector<Platform::Instance>& listed, const nlohmann::json& settings)
       : platform_(listed, settings) {}
 
-  [[nodiscard]] std::unique_ptr<Wire> connect() const { return platform_.connect(); }
+  [[nodiscard]] std::unique_ptr<TestConnection> connect() const { return platform_.connect(); }
   [[nodiscard]] Platform& platform() { return platform_; }
 
   void send_signal(int number) {
@@ -232,7 +232,7 @@
   Conductor& conductor_;
   std::string name_;
   Random random_;
-  std::unique_ptr<Wire> wire_;
+  std::unique_ptr<TestConnection> wire_;
   int sent_ = 0;
 };
 
--- a/tests/faults/stand_in_platform.cpp
+++ b/tests/faults/stand_in_platform.cpp
@@ -9,7 +9,7 @@
 using Kind = HistoryEvent::Kind;
 using integration::Message;
 using integration::simple;
-using integration::Wire;
+using integration::TestConnection;
 
 namespace {
 
@@ -27,7 +27,7 @@
 
 SimulatedServer::SimulatedServer(SimulatedPlatform& platform, std::string id, bool prefill)
     : platform_(platform), id_(std::move(id)), prefill_(prefill) {
-  peer_ = std::make_unique<integration::Peer>([this](Wire& wire) { serve(wire); });
+  peer_ = std::make_unique<integration::Peer>([this](TestConnection& wire) { serve(wire); });
   relay_ = std::make_unique<Relay>(peer_->address());
 }
 
@@ -35,13 +35,13 @@
   return {id_, prefill_ ? "lectura" : "escritura", relay_->address()};
 }
 
-void SimulatedServer::serve(Wire& wire) {
+void SimulatedServer::serve(TestConnection& wire) {
   while (const auto request = wire.receive()) {
     if (!answer(wire, *request)) return;
   }
 }
 
-bool SimulatedServer::answer(Wire& wire, const Message& request) {
+bool SimulatedServer::answer(TestConnection& wire, const Message& request) {
   const std::string target = target_of(request);
   if (target.starts_with(kReservationPath)) {
     const std::string id = target.substr(kReservationPath.size());
@@ -67,7 +67,7 @@
   return prefill_ ? run_prefill(wire, id) : decode(wire, id);
 }
 
-bool SimulatedServer::run_prefill(Wire& wire, const std::string& id) {
+bool SimulatedServer::run_prefill(TestConnection& wire, const std::string& id) {
   {
     const std::lock_guard lock(platform_.mutex_);
     platform_.prefilling_.insert(id);
@@ -94,7 +94,7 @@
   return true;
 }
 
-bool SimulatedServer::decode(Wire& wire, const std::string& id) {
+bool SimulatedServer::decode(TestConnection& wire, const std::string& id) {
   bool cache_released = false;
   {
     const std::lock_guard lock(platform_.mutex_);
@@ -119,7 +119,7 @@
   return true;
 }
 
-void SimulatedServer::reserve(Wire& wire, const std::string& id) {
+void SimulatedServer::reserve(TestConnection& wire, const std::string& id) {
   bool prefilling = false;
   {
     const std::lock_guard lock(platform_.mutex_);
--- a/tests/faults/stand_in_platform.hpp
+++ b/tests/faults/stand_in_platform.hpp
@@ -36,11 +36,11 @@
   void silence_after_prefill(bool on) { silence_after_prefill_ = on; }
 
  private:
-  void serve(integration::Wire& wire);
-  bool answer(integration::Wire& wire, const integration::Message& request);
-  bool run_prefill(integration::Wire& wire, const std::string& id);
-  bool decode(integration::Wire& wire, const std::string& id);
-  void reserve(integration::Wire& wire, const std::string& id);
+  void serve(integration::TestConnection& wire);
+  bool answer(integration::TestConnection& wire, const integration::Message& request);
+  bool run_prefill(integration::TestConnection& wire, const std::string& id);
+  bool decode(integration::TestConnection& wire, const std::string& id);
+  void reserve(integration::TestConnection& wire, const std::string& id);
 
   SimulatedPlatform& platform_;
   std::string id_;
--- a/tests/fleet/ownership_stories.cpp
+++ b/tests/fleet/ownership_stories.cpp
@@ -189,7 +189,7 @@
   integration::Platform platform({{"a", "mixto", "127.0.0.1:1"}});
   integration::EventLog seen;
   integration::Peer box(
-      integration::box(seen, [](integration::Wire&, const integration::Message&) { return true; }));
+      integration::box(seen, [](integration::TestConnection&, const integration::Message&) { return true; }));
   integration::Appliance alone({box.address()});
   CHECK(alone.page("GET", "/-/duties").starts_with("HTTP/1.1 404"));
   Fleet fleet(1);
--- a/tests/handover_test.cpp
+++ b/tests/handover_test.cpp
@@ -124,7 +124,7 @@
                            loop.stop();
                          },
                          {});
-  const auto client = integration::Wire::to(address);
+  const auto client = integration::TestConnection::to(address);
   client->send("POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n");
   loop.run();
   const auto enough = loop.at(loop.now() + 100ms, [&loop] { loop.stop(); });
--- a/tests/integration/accept_failure_test.cpp
+++ b/tests/integration/accept_failure_test.cpp
@@ -58,11 +58,11 @@
   net::HttpServer server{
       loop, address, [](std::unique_ptr<net::IncomingRequest> incoming) { incoming->answer(200, {}, "ok"); },
       net::ServerLimits{}};
-  std::vector<std::unique_ptr<Wire>> clients;
+  std::vector<std::unique_ptr<TestConnection>> clients;
 
   void ask() {
     for (int i = 0; i < kClients; ++i) {
-      clients.push_back(Wire::to(address));
+      clients.push_back(TestConnection::to(address));
       clients.back()->send("GET / HTTP/1.1\r\nConnection: close\r\n\r\n");
     }
   }
@@ -152,7 +152,7 @@
 TEST_CASE("Accept: the agent check does not busy-loop without descriptors and answers once there are some") {
   net::Loop loop;
   net::AgentCheck agent(loop, "127.0.0.1:0", [] { return net::Standing{}; });
-  const auto balancer = Wire::to("127.0.0.1:" + std::to_string(agent.port()));
+  const auto balancer = TestConnection::to("127.0.0.1:" + std::to_string(agent.port()));
   const auto run = [&](core::Duration time) {
     const auto over = loop.at(loop.now() + time, [&] { loop.stop(); });
     loop.run();
--- a/tests/integration/appliance_test.cpp
+++ b/tests/integration/appliance_test.cpp
@@ -11,7 +11,7 @@
 
 TEST_CASE("Chat: streamed and complete answers are forwarded unchanged") {
   EventLog seen;
-  Peer one(box(seen, [](Wire& wire, const Message& m) {
+  Peer one(box(seen, [](TestConnection& wire, const Message& m) {
     if (json::parse(m.body)["stream"] == true) {
       wire.send(events({"{\"choices\":[{\"delta\":{\"content\":\"ok\"}}]}", "[DONE]"}));
     } else {
@@ -32,7 +32,7 @@
 
 TEST_CASE("Chat: models are listed and an invalid request gets a 400 or 404 that names the field") {
   EventLog seen;
-  Peer one(box(seen, [](Wire&, const Message&) { return false; }));
+  Peer one(box(seen, [](TestConnection&, const Message&) { return false; }));
   Appliance appliance({one.address()});
   CHECK(body_of(appliance.get("/v1/models"))["data"][1]["id"] == "m-ajuste");
   CHECK(body_of(appliance.get("/v1/models/m-ajuste"))["object"] == "model");
@@ -64,7 +64,7 @@
 TEST_CASE(
     "Chat: a client disconnect during a stream ends the attempt and a request with effect is not retried") {
   EventLog seen;
-  const auto chat = [&](Wire& wire, const Message&) {
+  const auto chat = [&](TestConnection& wire, const Message&) {
     wire.send(stream_head() + chunk("data: {\"x\":1}\n\n"));
     if (wire.closed_within(3000)) seen.add("stream ended");
     return false;
@@ -83,7 +83,7 @@
 TEST_CASE("Chat: an error event after partial output is forwarded and no other answer follows") {
   EventLog seen;
   const std::string error = R"({"error":{"message":"out of memory","type":"server_error"}})";
-  const auto chat = [&](Wire& wire, const Message&) {
+  const auto chat = [&](TestConnection& wire, const Message&) {
     wire.send(events({"{\"x\":1}", error}));
     return true;
   };
@@ -100,7 +100,7 @@
 
 TEST_CASE("Chat: a stream that ends early gets an error event from the conductor") {
   EventLog seen;
-  Peer one(box(seen, [](Wire& wire, const Message&) {
+  Peer one(box(seen, [](TestConnection& wire, const Message&) {
     wire.send(stream_head() + chunk("data: {\"x\":1}\n\n"));
     return false;
   }));
@@ -133,7 +133,7 @@
   for (const Case& c : cases) {
     for (const bool stream : {true, false}) {
       EventLog seen;
-      const auto chat = [&](Wire& wire, const Message&) {
+      const auto chat = [&](TestConnection& wire, const Message&) {
         wire.send(simple(c.status, "{\"error\":{\"message\":\"no\"}}", c.headers));
         return true;
       };
@@ -155,7 +155,7 @@
 
 TEST_CASE("Chat: an unstreamed answer that ends early is retried if the class permits") {
   EventLog seen;
-  const auto chat = [&](Wire& wire, const Message&) {
+  const auto chat = [&](TestConnection& wire, const Message&) {
     if (seen.count(kChat) == 1) {
       wire.send("HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\n{\"half\":");
       return false;
@@ -171,8 +171,8 @@
 
 TEST_CASE("Checks: agent-check, health and console reflect instance state, drains and shutdown") {
   EventLog seen;
-  Peer one(box(seen, [](Wire&, const Message&) { return false; }));
-  auto two = std::make_unique<Peer>(box(seen, [](Wire&, const Message&) { return false; }));
+  Peer one(box(seen, [](TestConnection&, const Message&) { return false; }));
+  auto two = std::make_unique<Peer>(box(seen, [](TestConnection&, const Message&) { return false; }));
   Appliance appliance({one.address(), two->address()});
   CHECK(appliance.agent_reports("up 100%\n"));
   CHECK(appliance.get("/-/healthy").starts_with("HTTP/1.1 200"));
@@ -202,7 +202,7 @@
 TEST_CASE("A drained instance gets no new requests and the others do") {
   EventLog seen;
   const auto recording_script = [&seen](const std::string& name) {
-    return [&seen, name](Wire& wire, const Message&) {
+    return [&seen, name](TestConnection& wire, const Message&) {
       seen.add(name);
       wire.send(events({"[DONE]"}));
       return true;
@@ -220,7 +220,7 @@
 
 TEST_CASE("SIGHUP: the appliance reloads instances and models, keeps drains and ignores an invalid file") {
   EventLog first_seen, second_seen;
-  const auto answer = [](Wire& wire, const Message&) {
+  const auto answer = [](TestConnection& wire, const Message&) {
     wire.send(events({"{}", "[DONE]"}));
     return true;
   };
--- a/tests/integration/appliance_world.hpp
+++ b/tests/integration/appliance_world.hpp
@@ -30,8 +30,8 @@
 // Script of a fake model-server instance, based on the public description of the API. Answers health checks,
 // records the first line of every other request and passes the request to `chat`, which returns whether to
 // keep the connection.
-inline Peer::Script box(EventLog& seen, const std::function<bool(Wire&, const Message&)>& chat) {
-  return [&seen, chat](Wire& wire) {
+inline Peer::Script box(EventLog& seen, const std::function<bool(TestConnection&, const Message&)>& chat) {
+  return [&seen, chat](TestConnection& wire) {
     while (const auto request = wire.receive()) {
       if (request->first.starts_with("GET /v1/models")) {
         wire.send(simple("200 OK", "{\"object\":\"list\",\"data\":[]}"));
@@ -80,7 +80,7 @@
     program_->send_signal(SIGHUP);
   }
   [[nodiscard]] const nlohmann::json& file() const { return file_; }
-  [[nodiscard]] std::unique_ptr<Wire> connect() const { return Wire::to(chat_); }
+  [[nodiscard]] std::unique_ptr<TestConnection> connect() const { return TestConnection::to(chat_); }
   [[nodiscard]] static std::string request(const std::string& body) {
     return "POST /v1/chat/completions HTTP/1.1\r\nHost: caja\r\nConnection: close\r\nContent-Length: " +
            std::to_string(body.size()) + "\r\n\r\n" + body;
@@ -95,7 +95,7 @@
   [[nodiscard]] std::string chat(const std::string& body) const { return say(chat_, request(body)); }
   // Sends `text` and returns everything received until the connection closes.
   [[nodiscard]] static std::string say(const std::string& address, const std::string& text) {
-    const auto wire = Wire::to(address);
+    const auto wire = TestConnection::to(address);
     wire->send(text);
     return wire->receive_all();
   }
@@ -106,7 +106,7 @@
   [[nodiscard]] std::string page(const std::string& method, const std::string& path) const {
     return say(page_, method + " " + path + " HTTP/1.1\r\nContent-Length: 0\r\nConnection: close\r\n\r\n");
   }
-  [[nodiscard]] std::string agent() const { return Wire::to(agent_)->receive_all(); }
+  [[nodiscard]] std::string agent() const { return TestConnection::to(agent_)->receive_all(); }
   // Whether the agent-check reports `line` within 5 s.
   [[nodiscard]] bool agent_reports(const std::string& line) const {
     for (int i = 0; i < 250; ++i) {
--- a/tests/integration/delayed_loop_test.cpp
+++ b/tests/integration/delayed_loop_test.cpp
@@ -42,7 +42,7 @@
 TEST_CASE(
     "Pool: a request is served even if the idle timeout of its connection expires in the same iteration") {
   EventLog seen;
-  Peer instance([&seen](Wire& wire) {
+  Peer instance([&seen](TestConnection& wire) {
     seen.add("connection");
     while (const auto request = wire.receive()) {
       seen.add(request->first);
@@ -76,7 +76,7 @@
 }
 
 TEST_CASE("Pool: connections established while the loop is delayed beyond the connect timeout are used") {
-  Peer instance([](Wire& wire) {
+  Peer instance([](TestConnection& wire) {
     while (wire.receive()) wire.send(simple("200 OK", "ok"));
   });
   constexpr core::Duration kConnect = 50ms;
@@ -118,8 +118,8 @@
   net::HttpServer server(
       loop, address, [](std::unique_ptr<net::IncomingRequest> incoming) { incoming->answer(200, {}, "ok"); },
       net::ServerLimits{});
-  std::vector<std::unique_ptr<Wire>> clients;
-  for (int i = 0; i < kClients; ++i) clients.push_back(Wire::to(address));
+  std::vector<std::unique_ptr<TestConnection>> clients;
+  for (int i = 0; i < kClients; ++i) clients.push_back(TestConnection::to(address));
   const auto delay = loop.at(loop.now() + 50ms, [&] {
     std::this_thread::sleep_for(kRequestTime);
     for (const auto& client : clients) client->send("GET / HTTP/1.1\r\nConnection: close\r\n\r\n");
@@ -137,7 +137,7 @@
     "Attempt: the remaining time sent to an instance is that at the first byte, not before the connect") {
   constexpr core::Duration kTimeLeft = 2s, kDelay = 400ms;
   EventLog received;
-  Peer instance([&received](Wire& wire) {
+  Peer instance([&received](TestConnection& wire) {
     const auto request = wire.receive();
     if (!request) return;
     received.add(request->headers.at("x-remaining-ms"));
@@ -187,7 +187,7 @@
         loop.stop();
       },
       net::ServerLimits{});
-  auto client = Wire::to(address);
+  auto client = TestConnection::to(address);
   client->send("GET / HTTP/1.1\r\n\r\n");
   loop.run();
   REQUIRE(request != nullptr);
--- a/tests/integration/evhttp_test.cpp
+++ b/tests/integration/evhttp_test.cpp
@@ -66,7 +66,7 @@
   const std::size_t colon = address.find(':');
   REQUIRE(evhttp_bind_socket(http.get(), address.substr(0, colon).c_str(),
                              static_cast<std::uint16_t>(std::stoi(address.substr(colon + 1)))) == 0);
-  const auto wire = Wire::to(address);
+  const auto wire = TestConnection::to(address);
   wire->send("GET / HTTP/1.1\r\n\r\n");
   run_for(loop, 100ms);
   REQUIRE(taken);
@@ -90,7 +90,7 @@
         });
       },
       net::ServerLimits{});
-  const auto wire = Wire::to(address);
+  const auto wire = TestConnection::to(address);
   wire->send("GET / HTTP/1.1\r\n\r\n");
   run_for(loop, 100ms);
   REQUIRE(pending != nullptr);
@@ -104,12 +104,12 @@
   net::Loop loop;
   Results unwritten, written;
   Peer stuck(
-      [](Wire& wire) {
+      [](TestConnection& wire) {
         std::this_thread::sleep_for(100ms);
         wire.reset();
       },
       4096);
-  Peer read([](Wire& wire) {
+  Peer read([](TestConnection& wire) {
     wire.receive();
     wire.reset();
   });
--- a/tests/integration/operations_test.cpp
+++ b/tests/integration/operations_test.cpp
@@ -15,7 +15,7 @@
 
 // Script of an instance for prefill and decode that answers every request and records its own name for each.
 Peer::Script answering_instance(EventLog& seen, const std::string& name) {
-  return [&seen, name](Wire& wire) {
+  return [&seen, name](TestConnection& wire) {
     while (const auto request = wire.receive()) {
       if (request->first.starts_with("POST /v1")) seen.add(name);
       wire.send(request->first.starts_with("POST /v1") ? events({"[DONE]"}) : simple("204 No Content"));
@@ -41,7 +41,7 @@
     return all;
   }
   static std::string call(const std::string& at, const std::string& line, const std::string& headers = "") {
-    const auto wire = Wire::to(at);
+    const auto wire = TestConnection::to(at);
     if (wire == nullptr) return "";
     wire->send(line + " HTTP/1.1\r\nHost: x\r\n" + headers + "\r\n");
     return wire->receive_all();  // the server closes the connection after one request
@@ -66,9 +66,9 @@
   EventLog seen;
   Peer a(answering_instance(seen, "a"));
   ManagedConductor conductor({{"a", "mixto", a.address()}});
-  std::vector<std::unique_ptr<Wire>> silent_connections;
+  std::vector<std::unique_ptr<TestConnection>> silent_connections;
   for (int i = 0; i < 40; ++i) {  // more than the limit of connections
-    silent_connections.push_back(Wire::to(conductor.mgmt));
+    silent_connections.push_back(TestConnection::to(conductor.mgmt));
     if (silent_connections.back() != nullptr && i % 2 == 1) silent_connections.back()->send("GET /-/metr");
   }
   const std::vector<std::pair<std::string, int>> calls{{"GET /-/ready", 200},
@@ -102,7 +102,7 @@
 TEST_CASE("Metrics match known traffic") {
   EventLog seen;
   Peer a(answering_instance(seen, "a"));
-  Peer broken([](Wire& wire) {
+  Peer broken([](TestConnection& wire) {
     while (wire.receive()) wire.send(simple("500 Internal Server Error"));
   });
   ManagedConductor conductor({{"a", "mixto", a.address()}, {"b", "mixto", "127.0.0.1:1"}});
@@ -168,7 +168,7 @@
 TEST_CASE("A new process takes over the passed socket without failed requests and keeps instances disabled") {
   EventLog seen;
   Peer a(answering_instance(seen, "a"));
-  Peer slow([&seen](Wire& wire) {
+  Peer slow([&seen](TestConnection& wire) {
     while (const auto request = wire.receive()) {
       if (!request->first.starts_with("POST /v1")) {
         wire.send(simple("204 No Content"));
@@ -212,7 +212,7 @@
 // Script of an instance that starts a stream, waits for "go on" in the record, and then sends the rest byte
 // by byte or, with `breaks`, closes the connection.
 Peer::Script slow_instance(EventLog& seen, bool breaks = false) {
-  return [&seen, breaks](Wire& wire) {
+  return [&seen, breaks](TestConnection& wire) {
     while (const auto request = wire.receive()) {
       if (!request->first.starts_with("POST /v1")) {
         wire.send(simple("204 No Content"));
@@ -264,7 +264,7 @@
   Peer slow(slow_instance(seen));
   ManagedConductor conductor({{"s", "mixto", slow.address()}}, true);
   constexpr int kStreams = 40;
-  std::vector<std::unique_ptr<Wire>> clients;
+  std::vector<std::unique_ptr<TestConnection>> clients;
   std::vector<std::string> begun;
   for (int i = 0; i < kStreams; ++i) {
     clients.push_back(conductor.platform.connect());
--- a/tests/integration/peers.cpp
+++ b/tests/integration/peers.cpp
@@ -55,7 +55,7 @@
 
 }  // namespace
 
-std::unique_ptr<Wire> Wire::to(const std::string& where, int receive_buffer) {
+std::unique_ptr<TestConnection> TestConnection::to(const std::string& where, int receive_buffer) {
   const int socket = ::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
   if (receive_buffer > 0) setsockopt(socket, SOL_SOCKET, SO_RCVBUF, &receive_buffer, sizeof receive_buffer);
   const sockaddr_in address = socket_address(where);
@@ -63,10 +63,10 @@
     ::close(socket);
     return nullptr;
   }
-  return std::make_unique<Wire>(socket);
+  return std::make_unique<TestConnection>(socket);
 }
 
-void Wire::send(const std::string& bytes) const {
+void TestConnection::send(const std::string& bytes) const {
   for (std::size_t sent = 0; sent < bytes.size();) {
     const ssize_t now = ::send(socket_, bytes.data() + sent, bytes.size() - sent, MSG_NOSIGNAL);
     if (now <= 0) return;  // the other side has closed; tests detect that elsewhere
@@ -74,7 +74,7 @@
   }
 }
 
-bool Wire::receive_more() {
+bool TestConnection::receive_more() {
   pollfd ready{socket_, POLLIN, 0};
   if (poll(&ready, 1, 10000) <= 0) return false;  // a test that hangs fails instead
   char bytes[4096];
@@ -84,7 +84,7 @@
   return true;
 }
 
-std::string Wire::receive_until(const std::string& end) {
+std::string TestConnection::receive_until(const std::string& end) {
   std::size_t at = 0;
   while ((at = buffer_.find(end)) == std::string::npos) {
     if (!receive_more()) return std::exchange(buffer_, {});
@@ -94,13 +94,13 @@
   return result;
 }
 
-std::string Wire::receive_all() {
+std::string TestConnection::receive_all() {
   while (receive_more()) {
   }
   return std::exchange(buffer_, {});
 }
 
-Message Wire::receive_head() {
+Message TestConnection::receive_head() {
   Message message;
   std::string head = receive_until("\r\n\r\n");
   std::size_t begin = 0;
@@ -118,7 +118,7 @@
   return message;
 }
 
-std::optional<Message> Wire::receive() {
+std::optional<Message> TestConnection::receive() {
   Message message = receive_head();
   if (message.first.empty()) return std::nullopt;
   const std::size_t length =
@@ -128,7 +128,7 @@
   return message;
 }
 
-std::string Wire::receive_bytes(std::size_t count) {
+std::string TestConnection::receive_bytes(std::size_t count) {
   while (buffer_.size() < count && receive_more()) {
   }
   std::string result = buffer_.substr(0, count);
@@ -136,12 +136,12 @@
   return result;
 }
 
-bool Wire::closed_within(int ms) const {
+bool TestConnection::closed_within(int ms) const {
   pollfd ready{socket_, POLLIN | POLLRDHUP, 0};
   return poll(&ready, 1, ms) > 0 && (ready.revents & (POLLRDHUP | POLLHUP | POLLERR)) != 0;
 }
 
-bool Wire::reset_within(int ms) const {
+bool TestConnection::reset_within(int ms) const {
   const auto until = std::chrono::steady_clock::now() + std::chrono::milliseconds(ms);
   while (std::chrono::steady_clock::now() < until) {
     // Polls for errors only, because the other side's half-close would make the socket readable throughout.
@@ -151,19 +151,19 @@
   return false;
 }
 
-void Wire::close() {
+void TestConnection::close() {
   const std::lock_guard lock(socket_mutex_);
   if (socket_ >= 0) ::close(std::exchange(socket_, -1));
 }
 
-void Wire::half_close() const { shutdown(socket_, SHUT_WR); }
+void TestConnection::half_close() const { shutdown(socket_, SHUT_WR); }
 
-void Wire::interrupt() {
+void TestConnection::interrupt() {
   const std::lock_guard lock(socket_mutex_);
   if (socket_ >= 0) shutdown(socket_, SHUT_RDWR);
 }
 
-void Wire::reset() {
+void TestConnection::reset() {
   const linger now{1, 0};
   setsockopt(socket_, SOL_SOCKET, SO_LINGER, &now, sizeof now);
   close();
@@ -182,7 +182,7 @@
     const int socket = accept4(listener_, nullptr, nullptr, SOCK_CLOEXEC);
     if (socket < 0 || ending_) return;
     const std::lock_guard lock(mutex_);
-    const auto wire = wires_.emplace_back(std::make_shared<Wire>(socket));
+    const auto wire = wires_.emplace_back(std::make_shared<TestConnection>(socket));
     connections_.emplace_back([this, wire] {
       script_(*wire);
       wire->close();
@@ -259,7 +259,7 @@
 
 bool Program::listens(const std::string& address) {
   for (int i = 0; i < 500; ++i) {
-    if (Wire::to(address) != nullptr) return true;
+    if (TestConnection::to(address) != nullptr) return true;
     std::this_thread::sleep_for(20ms);
   }
   return false;
--- a/tests/integration/peers.hpp
+++ b/tests/integration/peers.hpp
@@ -24,13 +24,13 @@
   [[nodiscard]] int status() const { return first.size() > 12 ? std::stoi(first.substr(9, 3)) : 0; }
 };
 
-class Wire {
+class TestConnection {
  public:
-  explicit Wire(int socket) : socket_(socket) {}
-  static std::unique_ptr<Wire> to(const std::string& address, int receive_buffer = 0);
-  ~Wire() { close(); }
-  Wire(const Wire&) = delete;
-  Wire& operator=(const Wire&) = delete;
+  explicit TestConnection(int socket) : socket_(socket) {}
+  static std::unique_ptr<TestConnection> to(const std::string& address, int receive_buffer = 0);
+  ~TestConnection() { close(); }
+  TestConnection(const TestConnection&) = delete;
+  TestConnection& operator=(const TestConnection&) = delete;
 
   void send(const std::string& bytes) const;
   // Receives one message with a body framed by Content-Length; empty if the other side has closed.
@@ -60,7 +60,7 @@
 
 class Peer {
  public:
-  using Script = std::function<void(Wire&)>;
+  using Script = std::function<void(TestConnection&)>;
   explicit Peer(Script script, int receive_buffer = 0);
   ~Peer();
   Peer(const Peer&) = delete;
@@ -75,7 +75,7 @@
   int port_ = 0;
   std::atomic<bool> ending_{false};
   std::mutex mutex_;
-  std::vector<std::shared_ptr<Wire>> wires_;
+  std::vector<std::shared_ptr<TestConnection>> wires_;
   std::vector<std::thread> connections_;
   std::thread thread_;
 };
--- a/tests/integration/platform_fixture.hpp
+++ b/tests/integration/platform_fixture.hpp
@@ -34,8 +34,8 @@
   void reload(const std::string& content) const;
   [[nodiscard]] const nlohmann::json& config() const { return config_; }
 
-  [[nodiscard]] std::unique_ptr<Wire> connect(int receive_buffer = 0) const {
-    return Wire::to(listen_, receive_buffer);
+  [[nodiscard]] std::unique_ptr<TestConnection> connect(int receive_buffer = 0) const {
+    return TestConnection::to(listen_, receive_buffer);
   }
   // Sends one request and returns the whole response as received.
   [[nodiscard]] std::string ask(const std::string& request) const;
--- a/tests/integration/platform_protocol_test.cpp
+++ b/tests/integration/platform_protocol_test.cpp
@@ -15,8 +15,9 @@
 }
 
 // Instance that answers requests on a kept connection through `reply`, and records their method and target.
-Peer::Script scripted_instance(EventLog& seen, const std::function<bool(Wire&, const Message&)>& reply) {
-  return [&seen, reply](Wire& wire) {
+Peer::Script scripted_instance(EventLog& seen,
+                               const std::function<bool(TestConnection&, const Message&)>& reply) {
+  return [&seen, reply](TestConnection& wire) {
     while (const auto request = wire.receive()) {
       seen.add(request->first.substr(0, request->first.rfind(' ')));
       if (request->first.starts_with("DELETE")) {
@@ -39,13 +40,13 @@
     "A request is prefilled, its decode instance claimed early, and decoded, with its content unchanged") {
   EventLog seen;
   Message prefill_request, decode_request;
-  Peer prefill_instance(scripted_instance(seen, [&](Wire& wire, const Message& m) {
+  Peer prefill_instance(scripted_instance(seen, [&](TestConnection& wire, const Message& m) {
     prefill_request = m;
     if (!seen.wait_for("POST /bootstrap/rooms/t1")) return false;  // the claim is sent during the prefill
     wire.send(simple("202 Accepted", "{\"cached_tokens\":0}"));
     return true;
   }));
-  Peer decode_instance(scripted_instance(seen, [&](Wire& wire, const Message& m) {
+  Peer decode_instance(scripted_instance(seen, [&](TestConnection& wire, const Message& m) {
     if (m.first.starts_with("POST /bootstrap")) {
       wire.send(simple("200 OK"));
     } else {
@@ -80,7 +81,7 @@
 // and be queued behind all others.
 TEST_CASE("X-Org selects the tenant by its name in the settings") {
   EventLog seen;
-  Peer decode_instance(scripted_instance(seen, [&](Wire& wire, const Message&) {
+  Peer decode_instance(scripted_instance(seen, [&](TestConnection& wire, const Message&) {
     wire.send(events({"{\"x\":1}", "[DONE]"}));
     return true;
   }));
@@ -105,11 +106,11 @@
 
 TEST_CASE("A client that leaves during the prefill ends it at once, and the held KV cache is released") {
   EventLog seen;
-  Peer prefill_instance(scripted_instance(seen, [&](Wire& wire, const Message&) {
+  Peer prefill_instance(scripted_instance(seen, [&](TestConnection& wire, const Message&) {
     if (wire.closed_within(3000)) seen.add("read ended");
     return false;
   }));
-  Peer decode_instance(scripted_instance(seen, [](Wire& wire, const Message&) {
+  Peer decode_instance(scripted_instance(seen, [](TestConnection& wire, const Message&) {
     wire.send(simple("409 Conflict"));
     return true;
   }));
@@ -126,7 +127,7 @@
 
 TEST_CASE("An ajuste that may have run is not retried, even if a kept connection broke") {
   EventLog seen;
-  Peer decode_instance(scripted_instance(seen, [&](Wire& wire, const Message&) {
+  Peer decode_instance(scripted_instance(seen, [&](TestConnection& wire, const Message&) {
     if (seen.count(kChat) == 1) {
       wire.send(events({"[DONE]"}));
       return true;
@@ -143,7 +144,7 @@
 
 TEST_CASE("A consulta is retried at another instance after a reset") {
   EventLog seen;
-  const auto reply = [&](Wire& wire, const Message&) {
+  const auto reply = [&](TestConnection& wire, const Message&) {
     if (seen.count(kChat) == 1) {
       wire.reset();
       return false;
@@ -161,13 +162,13 @@
   EventLog seen;
   // Its socket buffers are smaller than the request; it reads nothing and then resets the connection.
   Peer stuck(
-      [&](Wire& wire) {
+      [&](TestConnection& wire) {
         std::this_thread::sleep_for(std::chrono::milliseconds(300));
         seen.add("broken off");
         wire.reset();
       },
       4096);
-  Peer well(scripted_instance(seen, [](Wire& wire, const Message&) {
+  Peer well(scripted_instance(seen, [](TestConnection& wire, const Message&) {
     wire.send(events({"[DONE]"}));
     return true;
   }));
@@ -182,7 +183,7 @@
 
 TEST_CASE("A stream that breaks ends without the final chunk") {
   EventLog seen;
-  Peer decode_instance(scripted_instance(seen, [](Wire& wire, const Message&) {
+  Peer decode_instance(scripted_instance(seen, [](TestConnection& wire, const Message&) {
     wire.send(stream_head() + chunk("data: {\"x\":1}\n\n"));
     std::this_thread::sleep_for(std::chrono::milliseconds(50));
     return false;
@@ -196,7 +197,7 @@
 
 TEST_CASE("Events are forwarded as they arrive, not at the end of the stream") {
   EventLog seen;
-  Peer decode_instance(scripted_instance(seen, [&](Wire& wire, const Message&) {
+  Peer decode_instance(scripted_instance(seen, [&](TestConnection& wire, const Message&) {
     wire.send(stream_head() + chunk("data: one\n\n"));
     seen.wait_for("client has one");
     wire.send(chunk("data: two\n\n") + "0\r\n\r\n");
@@ -212,7 +213,7 @@
 
 TEST_CASE("With a silent instance, the client gets one answer at its deadline and the attempt is closed") {
   EventLog seen;
-  Peer decode_instance(scripted_instance(seen, [&](Wire& wire, const Message&) {
+  Peer decode_instance(scripted_instance(seen, [&](TestConnection& wire, const Message&) {
     if (wire.closed_within(5000)) seen.add("attempt closed");
     return false;
   }));
@@ -228,7 +229,7 @@
 
 TEST_CASE("A release is retried until it is answered") {
   EventLog seen;
-  Peer prefill_instance([&](Wire& wire) {
+  Peer prefill_instance([&](TestConnection& wire) {
     const auto request = wire.receive();
     if (!request) return;
     seen.add(request->first.substr(0, request->first.find(' ')));
@@ -240,7 +241,7 @@
       wire.send(simple("204 No Content"));
     }
   });
-  Peer decode_instance(scripted_instance(seen, [](Wire& wire, const Message&) {
+  Peer decode_instance(scripted_instance(seen, [](TestConnection& wire, const Message&) {
     wire.send(simple("409 Conflict"));
     return true;
   }));
@@ -255,7 +256,7 @@
 
 TEST_CASE("A refusal by overloaded instances is passed on with Retry-After") {
   EventLog seen;
-  Peer decode_instance(scripted_instance(seen, [](Wire& wire, const Message&) {
+  Peer decode_instance(scripted_instance(seen, [](TestConnection& wire, const Message&) {
     wire.send(simple("503 Service Unavailable", "", "X-Turned-Away: 1\r\n"));
     return true;
   }));
@@ -267,7 +268,7 @@
 
 TEST_CASE("Requests that violate the protocol get 400 or 413, and the program keeps serving") {
   EventLog seen;
-  Peer decode_instance(scripted_instance(seen, [](Wire& wire, const Message&) {
+  Peer decode_instance(scripted_instance(seen, [](TestConnection& wire, const Message&) {
     wire.send(events({"[DONE]"}));
     return true;
   }));
@@ -306,7 +307,7 @@
     "and a broken watch is reopened") {
   EventLog seen;
   const auto record_requests = [&seen](const std::string& name) {
-    return [&seen, name](Wire& wire) {
+    return [&seen, name](TestConnection& wire) {
       while (wire.receive()) {
         seen.add(name);
         wire.send(events({"[DONE]"}));
@@ -346,7 +347,7 @@
 TEST_CASE(
     "A silent discovery is soon called again in any size of fleet, and its changes take effect at once") {
   EventLog first, second;
-  const auto serves = [](Wire& wire, const Message&) {
+  const auto serves = [](TestConnection& wire, const Message&) {
     wire.send(events({"{\"x\":1}", "[DONE]"}));
     return true;
   };
@@ -374,7 +375,7 @@
 
 TEST_CASE("A discovery that refuses calls is called at growing intervals, and the watch is reopened later") {
   EventLog seen;
-  Peer one([&seen](Wire& wire) {
+  Peer one([&seen](TestConnection& wire) {
     while (wire.receive()) {
       seen.add("one");
       wire.send(events({"[DONE]"}));
@@ -402,7 +403,7 @@
 // there is no time left.
 TEST_CASE("SIGTERM: a connection closes with the end of its stream and takes no further request") {
   EventLog seen;
-  Peer decode_instance(scripted_instance(seen, [&](Wire& wire, const Message&) {
+  Peer decode_instance(scripted_instance(seen, [&](TestConnection& wire, const Message&) {
     wire.send(stream_head() + chunk("data: 1\n\n"));
     if (!seen.wait_for("told")) return false;
     wire.send(chunk("data: [DONE]\n\n") + "0\r\n\r\n");
@@ -427,11 +428,11 @@
 // no response.
 TEST_CASE("SIGTERM: unanswered requests are ended in time, and their held KV caches are released") {
   EventLog seen;
-  Peer prefill_instance(scripted_instance(seen, [&](Wire& wire, const Message&) {
+  Peer prefill_instance(scripted_instance(seen, [&](TestConnection& wire, const Message&) {
     (void)wire.closed_within(9000);  // never answers
     return false;
   }));
-  Peer decode_instance(scripted_instance(seen, [](Wire& wire, const Message&) {
+  Peer decode_instance(scripted_instance(seen, [](TestConnection& wire, const Message&) {
     wire.send(simple("409 Conflict"));
     return true;
   }));
@@ -451,7 +452,7 @@
 
 TEST_CASE("SIGTERM: accepted requests and late connections are answered, then the program exits with 0") {
   EventLog seen;
-  Peer decode_instance(scripted_instance(seen, [&](Wire& wire, const Message& m) {
+  Peer decode_instance(scripted_instance(seen, [&](TestConnection& wire, const Message& m) {
     if (m.headers.at("x-txn") == "slow") seen.wait_for("late one answered");
     wire.send(events({"[DONE]"}));
     return true;
@@ -478,7 +479,7 @@
   const std::string ask = "GET /-/ready HTTP/1.1\r\n\r\n";
   const auto half = platform.connect();
   half->send("POST /v1/chat/completions HTTP/1.1\r\nX-Txn:");
-  std::vector<std::unique_ptr<Wire>> kept;
+  std::vector<std::unique_ptr<TestConnection>> kept;
   const auto open_connections = [&](int count, const std::string& request) {
     int answered = 0;
     for (int i = 0; i < count; ++i) {
@@ -498,7 +499,7 @@
 TEST_CASE("After a kept connection has broken under a request, an ajuste is sent on new connections only") {
   EventLog seen;
   // Answers the first request of each connection and resets the connection at the second one.
-  Peer only([&](Wire& wire) {
+  Peer only([&](TestConnection& wire) {
     for (int asked = 0; const auto request = wire.receive(); ++asked) {
       if (request->first.starts_with("DELETE")) {
         wire.send(simple("204 No Content"));
@@ -535,7 +536,7 @@
       {"huge", stream_head() + "c0000000\r\ndata: x\n\n"},
       {"late", stream_head() + chunk("data: 1\n\n")},
   };
-  const auto script = [&](Wire& wire, const Message& m) {
+  const auto script = [&](TestConnection& wire, const Message& m) {
     const std::string& txn = m.headers.at("x-txn");
     const std::string kind = txn.substr(txn.find('-') + 1);
     const bool first = seen.count(kChat) == 1;
@@ -574,7 +575,7 @@
 
 TEST_CASE("Connections are kept after their response unless the connection limit is nearly reached") {
   Platform platform({});
-  std::vector<std::unique_ptr<Wire>> kept;
+  std::vector<std::unique_ptr<TestConnection>> kept;
   const auto last_answer_ends_it = [&](int count) {
     Message answer;
     for (int i = 0; i < count; ++i) {
@@ -594,7 +595,7 @@
     "Faulty requests of one client affect neither the health of an instance nor other clients' requests") {
   EventLog seen;
   std::atomic<bool> go_on{false};
-  Peer only(scripted_instance(seen, [&](Wire& wire, const Message& m) {
+  Peer only(scripted_instance(seen, [&](TestConnection& wire, const Message& m) {
     if (m.headers.at("x-txn") == "w") {
       for (int i = 0; i < 500 && !go_on; ++i) std::this_thread::sleep_for(std::chrono::milliseconds(10));
     }
@@ -628,23 +629,23 @@
 TEST_CASE("SIGHUP: a faulty file changes nothing, a valid one moves the watch, and no request is lost") {
   EventLog seen, watches, last_watches;
   std::atomic<bool> go_on{false};
-  Peer old_instance(scripted_instance(seen, [&](Wire& wire, const Message&) {
+  Peer old_instance(scripted_instance(seen, [&](TestConnection& wire, const Message&) {
     wire.send(stream_head() + chunk("data: 1\n\n"));
     for (int i = 0; i < 500 && !go_on; ++i) std::this_thread::sleep_for(std::chrono::milliseconds(10));
     wire.send(chunk("data: [DONE]\n\n") + "0\r\n\r\n");
     return true;
   }));
-  Peer new_instance(scripted_instance(seen, [&](Wire& wire, const Message&) {
+  Peer new_instance(scripted_instance(seen, [&](TestConnection& wire, const Message&) {
     wire.send(events({"new", "[DONE]"}));
     return true;
   }));
-  Peer newest_instance(scripted_instance(seen, [&](Wire& wire, const Message&) {
+  Peer newest_instance(scripted_instance(seen, [&](TestConnection& wire, const Message&) {
     wire.send(events({"newest", "[DONE]"}));
     return true;
   }));
   // Discovery services whose version numbers are lower than those that the program has seen.
   const auto discovery_with = [](EventLog& watched, const Peer& instance) {
-    return [&](Wire& wire) {
+    return [&](TestConnection& wire) {
       const auto request = wire.receive();
       wire.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" +
                 chunk(Platform::line(0, true, {{"n", "mixto", instance.address()}}) + "\n"));
--- a/tests/integration/race_condition_test.cpp
+++ b/tests/integration/race_condition_test.cpp
@@ -22,7 +22,7 @@
 
 // Answers every request on each connection with one event, and records the X-Txn or the request line.
 Peer::Script serve_requests(EventLog& seen) {
-  return [&seen](Wire& wire) {
+  return [&seen](TestConnection& wire) {
     while (const auto request = wire.receive()) {
       const auto txn = request->headers.find("x-txn");
       seen.add(txn != request->headers.end() ? txn->second : request->first);
@@ -79,7 +79,7 @@
 TEST_CASE("Crossing: input that arrives during the last response does not destroy the response") {
   EventLog seen;
   const std::string text(200 * 1024, 'y');
-  Peer instance([&](Wire& wire) {
+  Peer instance([&](TestConnection& wire) {
     if (!wire.receive()) return;
     wire.send(stream_head() + chunk("data: " + text + "\n\n") + "0\r\n\r\n");
     seen.add("written");
@@ -99,7 +99,7 @@
 
 TEST_CASE("Crossing: a late duplicate response is not taken for the response to the next request") {
   EventLog seen;
-  Peer instance([&](Wire& wire) {
+  Peer instance([&](TestConnection& wire) {
     std::optional<std::chrono::steady_clock::time_point> answered;
     while (const auto request = wire.receive()) {
       // Sends the duplicate late, but within the time in which instances do so.
@@ -124,7 +124,7 @@
 // Simulates the duplicate answer to a probe or claim, as an attempt on the reused connection would see it.
 TEST_CASE("Crossing: a 200 that is no event stream is not accepted as an answer") {
   EventLog seen;
-  Peer instance([&](Wire& wire) {
+  Peer instance([&](TestConnection& wire) {
     if (!wire.receive()) return;
     seen.add("asked");
     wire.send(simple("200 OK", "{\"x1\":3}", "Content-Type: application/json\r\n"));
@@ -138,7 +138,7 @@
 
 TEST_CASE("Crossing: a refusal with an incomplete body ends its attempt soon, and another instance serves") {
   EventLog seen;
-  Peer stuck([&](Wire& wire) {
+  Peer stuck([&](TestConnection& wire) {
     if (!wire.receive()) return;
     seen.add("refused");
     wire.send("HTTP/1.1 503 Service Unavailable\r\nX-Turned-Away: 1\r\nContent-Length: 100\r\n\r\nno");
@@ -159,7 +159,7 @@
 
 TEST_CASE("Crossing: a second SIGTERM ends no accepted request") {
   EventLog seen;
-  Peer instance([&](Wire& wire) {
+  Peer instance([&](TestConnection& wire) {
     if (!wire.receive()) return;
     seen.add("taken");
     if (!seen.wait_for("told twice")) return;
@@ -180,7 +180,7 @@
 
 TEST_CASE("Crossing: a second SIGINT refuses requests that have not begun and ends the program") {
   EventLog seen;
-  Peer instance([&](Wire& wire) {
+  Peer instance([&](TestConnection& wire) {
     if (!wire.receive()) return;
     seen.add("taken");
     (void)wire.closed_within(9000);
@@ -203,7 +203,7 @@
   Platform platform({{"w", "mixto", instance.address()}});
   signal_shutdown(platform, SIGTERM);
   platform.program().send_signal(SIGSTOP);
-  std::vector<std::unique_ptr<Wire>> late;
+  std::vector<std::unique_ptr<TestConnection>> late;
   for (int i = 0; i < 40; ++i) {
     late.push_back(platform.connect());
     late.back()->send(client_request("late" + std::to_string(i), "consulta", 5000, 100));
@@ -288,21 +288,21 @@
 // Discovery service with a script for each call; the last script serves all further calls.
 struct ScriptedDiscovery {
   explicit ScriptedDiscovery(std::vector<Peer::Script> scripts)
-      : peer([this, scripts = std::move(scripts)](Wire& wire) {
+      : peer([this, scripts = std::move(scripts)](TestConnection& wire) {
           if (!wire.receive()) return;
           const std::size_t now = number++;
           seen.add("call");
           scripts[std::min(now, scripts.size() - 1)](wire);
         }) {}
   static Peer::Script list(const Platform::Instance& instance, bool stays) {
-    return [=](Wire& wire) {
+    return [=](TestConnection& wire) {
       wire.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" +
                 chunk(Platform::line(2, true, {instance}) + "\n"));
       if (stays) (void)wire.closed_within(10000);
     };
   }
-  static void silent(Wire& wire) { (void)wire.closed_within(10000); }
-  static void refused(Wire& wire) {
+  static void silent(TestConnection& wire) { (void)wire.closed_within(10000); }
+  static void refused(TestConnection& wire) {
     wire.send("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\nConnection: close\r\n\r\n");
   }
   EventLog seen;
@@ -372,7 +372,7 @@
   REQUIRE(platform.watches.wait_for(call));
   platform.silence(true);
   platform.break_watch();
-  std::vector<std::unique_ptr<Wire>> idle;
+  std::vector<std::unique_ptr<TestConnection>> idle;
   for (int i = 0; i < 400; ++i) idle.push_back(platform.connect());  // more than the limits leave for clients
   CHECK(platform.ask(kReady).starts_with("HTTP/1.1 200"));
   CHECK(descriptors(platform.program().pid()) <= 512);
@@ -393,7 +393,7 @@
        {"d", "data: {\"choices\":", "data: 1\n", ": a comment\n\n", ": a comment\n\ndata"}) {
     CAPTURE(part);
     EventLog seen;
-    Peer breaks([&](Wire& wire) {
+    Peer breaks([&](TestConnection& wire) {
       const auto request = wire.receive();
       if (!request) return;
       seen.add("breaks");
@@ -417,7 +417,7 @@
 
 TEST_CASE("Crossing: a request that must not be repeated and breaks off within its first event fails") {
   EventLog seen;
-  Peer breaks([&](Wire& wire) {
+  Peer breaks([&](TestConnection& wire) {
     if (!wire.receive()) return;
     seen.add("breaks");
     wire.send(stream_head() + chunk("data: {"));
@@ -434,7 +434,7 @@
 
 TEST_CASE("Crossing: a first event that arrives byte by byte, and what follows, reach the client unchanged") {
   const std::string stream = ": hello\r\n\r\ndata: 1\r\n\r\ndata: 2\n\ndata: [DONE]\n\n";
-  Peer instance([&](Wire& wire) {
+  Peer instance([&](TestConnection& wire) {
     if (!wire.receive()) return;
     wire.send(stream_head());
     for (const char byte : stream) {
@@ -462,7 +462,7 @@
     "Crossing: each event is forwarded within 0.3 s, even if split, while other clients flood and leave") {
   EventLog seen;
   constexpr int kEvents = 20;
-  Peer instance([&](Wire& wire) {
+  Peer instance([&](TestConnection& wire) {
     if (!wire.receive()) return;
     wire.send(stream_head());
     for (int i = 0; i < kEvents; ++i) {
--- a/tests/integration/repeat_test.cpp
+++ b/tests/integration/repeat_test.cpp
@@ -22,7 +22,7 @@
 
 // Answers each prefill request with a held KV cache, and every other call with 204. A held KV cache is the
 // state that a prefill instance keeps until a decode instance fetches it.
-void serve_prefill(Wire& wire) {
+void serve_prefill(TestConnection& wire) {
   while (const auto message = wire.receive()) {
     wire.send(is_request(*message) ? simple("202 Accepted", "{\"cached_tokens\":0}")
                                    : simple("204 No Content"));
@@ -37,7 +37,7 @@
   EventLog seen;
   std::atomic<bool> refused{false};
   Peer prefill(serve_prefill);
-  Peer decode([&](Wire& wire) {
+  Peer decode([&](TestConnection& wire) {
     std::optional<Clock::time_point> answered;
     while (const auto message = wire.receive()) {
       if (!is_request(*message)) {
@@ -70,7 +70,7 @@
   std::map<std::string, Clock::time_point> closed_at;  // by request: when its first instance saw the close
   std::vector<Clock::duration> waits;
   std::set<std::string> begun;
-  const auto script = [&](Wire& wire) {
+  const auto script = [&](TestConnection& wire) {
     while (const auto message = wire.receive()) {
       if (!is_request(*message)) {
         wire.send(simple("204 No Content"));
@@ -93,7 +93,7 @@
     }
   };
   Peer first(script), second(script);
-  Peer decode([](Wire& wire) {
+  Peer decode([](TestConnection& wire) {
     while (const auto message = wire.receive()) {
       wire.send(is_request(*message) ? events({"[DONE]"}) : simple("204 No Content"));
     }
@@ -111,7 +111,7 @@
 // there has no effect, so it was followed by another one.
 TEST_CASE("Repeat: an instance without a kind in the list is not taken for a prefill instance") {
   EventLog seen;
-  Peer resetting([&](Wire& wire) {
+  Peer resetting([&](TestConnection& wire) {
     if (const auto message = wire.receive(); message && is_request(*message)) seen.add("executed");
     wire.reset();
   });
@@ -186,7 +186,7 @@
       : record_(record),
         prefill_only_(prefill_only),
         generator_(seed),
-        peer_([this](Wire& wire) { serve(wire); }) {}
+        peer_([this](TestConnection& wire) { serve(wire); }) {}
   [[nodiscard]] std::string address() const { return peer_.address(); }
 
  private:
@@ -196,7 +196,7 @@
     return Fault(generator_() % std::uint32_t(Fault::count));
   }
 
-  void serve(Wire& wire) {
+  void serve(TestConnection& wire) {
     while (true) {
       const Fault fault = next_fault();
       if (fault == Fault::close_before_reading) return;
@@ -216,7 +216,7 @@
   }
 
   // False if the connection has ended.
-  bool answer(Wire& wire, const Message& message, Fault fault) {
+  bool answer(TestConnection& wire, const Message& message, Fault fault) {
     const bool refused = fault == Fault::refusal || fault == Fault::state_gone;
     if (!prefill_only_ && !refused) record_.executed(message.headers.at("x-txn"));
     switch (fault) {
@@ -350,7 +350,7 @@
     std::string txn = name;
     bool sent_again = false;
     for (int attempt = 0; attempt < 5; ++attempt) {
-      const auto wire = Wire::to(addresses_[generator_() % addresses_.size()]);
+      const auto wire = TestConnection::to(addresses_[generator_() % addresses_.size()]);
       if (wire == nullptr) continue;  // the process is down
       wire->send(client_request(txn, "ajuste", 700, generator_() % 2 == 0 ? 100 : 6000));
       const std::string answer = wire->receive_all();
