--- a/bench/ajuste_day.cpp
+++ b/bench/ajuste_day.cpp
@@ -43,7 +43,7 @@
 
 // Simulated instance: executes complete requests and fails at random: 4% answer 500, 4% reset the connection
 // after execution, 4% reject the request.
-Peer::Script simulated_instance(ExecutionCounts& runs, unsigned seed) {
+ScriptedServer::Script simulated_instance(ExecutionCounts& runs, unsigned seed) {
   return [&runs, seed, connections = std::make_shared<std::atomic<unsigned>>(0)](TestConnection& wire) {
     std::mt19937 random(seed + 7919 * ++*connections);
     while (const auto request = wire.receive()) {
@@ -99,7 +99,7 @@
 
 void measure(int requests, bool with_ledger) {
   ExecutionCounts runs;
-  Peer one(simulated_instance(runs, kSeed)), two(simulated_instance(runs, kSeed + 1));
+  ScriptedServer one(simulated_instance(runs, kSeed)), two(simulated_instance(runs, kSeed + 1));
   const std::string address = own_address();
   const json file = {
       {"listen", address},
--- a/bench/lost_streams.cpp
+++ b/bench/lost_streams.cpp
@@ -39,7 +39,8 @@
 
 // Simulated instance: continues after the words that the request already contains. `reset_after` returns the
 // number of words after which it resets the connection; negative: never.
-Peer::Script simulated_instance(const std::function<int()>& reset_after, const std::atomic<bool>& down) {
+ScriptedServer::Script simulated_instance(const std::function<int()>& reset_after,
+                                          const std::atomic<bool>& down) {
   return [reset_after, &down](TestConnection& wire) {
     while (const auto request = wire.receive()) {
       if (request->first.starts_with("GET ")) {
@@ -117,7 +118,7 @@
     return int(1 + random() % (kEvents - 2));
   };
   std::atomic<bool> down{false}, up{false};
-  Peer one(simulated_instance(reset_after, down)), two(simulated_instance(reset_after, up)),
+  ScriptedServer one(simulated_instance(reset_after, down)), two(simulated_instance(reset_after, up)),
       three(simulated_instance(reset_after, up));
   const std::string address = own_address();
   const json file = {
--- a/tests/conformance/main.cpp
+++ b/tests/conformance/main.cpp
@@ -98,7 +98,7 @@
   std::mutex mutex_;
   json script_;
   std::vector<Message> requests_;
-  Peer one_, two_;
+  ScriptedServer one_, two_;
 };
 
 // ---- The program ----
--- a/tests/faults/stand_in_platform.cpp
+++ b/tests/faults/stand_in_platform.cpp
@@ -27,7 +27,7 @@
 
 SimulatedServer::SimulatedServer(SimulatedPlatform& platform, std::string id, bool prefill)
     : platform_(platform), id_(std::move(id)), prefill_(prefill) {
-  peer_ = std::make_unique<integration::Peer>([this](TestConnection& wire) { serve(wire); });
+  peer_ = std::make_unique<integration::ScriptedServer>([this](TestConnection& wire) { serve(wire); });
   relay_ = std::make_unique<Relay>(peer_->address());
 }
 
--- a/tests/faults/stand_in_platform.hpp
+++ b/tests/faults/stand_in_platform.hpp
@@ -46,7 +46,7 @@
   std::string id_;
   bool prefill_;
   std::atomic<bool> silence_after_prefill_{false};
-  std::unique_ptr<integration::Peer> peer_;
+  std::unique_ptr<integration::ScriptedServer> peer_;
   std::unique_ptr<Relay> relay_;
 };
 
--- a/tests/fleet/fleet_rig.cpp
+++ b/tests/fleet/fleet_rig.cpp
@@ -18,7 +18,7 @@
   folder = name;
   store = folder + "/bankmux-fleet.db";
   for (int i = 0; i < 2; ++i) {
-    instances_.push_back(std::make_unique<Peer>([this](TestConnection& wire) {
+    instances_.push_back(std::make_unique<ScriptedServer>([this](TestConnection& wire) {
       while (const auto request = wire.receive()) {
         if (request->first.starts_with("GET /v1/models")) {
           health_checks_.add("asked");
--- a/tests/fleet/fleet_rig.hpp
+++ b/tests/fleet/fleet_rig.hpp
@@ -54,7 +54,7 @@
  private:
   void check_page(int i, const json& duties);
   integration::EventLog health_checks_, requests_;
-  std::vector<std::unique_ptr<integration::Peer>> instances_;
+  std::vector<std::unique_ptr<integration::ScriptedServer>> instances_;
   std::vector<std::unique_ptr<integration::Appliance>> members_;
   double lease_s_;
   std::uint64_t newest_token_ = 0;
--- a/tests/integration/appliance_test.cpp
+++ b/tests/integration/appliance_test.cpp
@@ -11,7 +11,7 @@
 
 TEST_CASE("Chat: streamed and complete answers are forwarded unchanged") {
   EventLog seen;
-  Peer one(box(seen, [](TestConnection& wire, const Message& m) {
+  ScriptedServer one(box(seen, [](TestConnection& wire, const Message& m) {
     if (json::parse(m.body)["stream"] == true) {
       wire.send(events({"{\"choices\":[{\"delta\":{\"content\":\"ok\"}}]}", "[DONE]"}));
     } else {
@@ -32,7 +32,7 @@
 
 TEST_CASE("Chat: models are listed and an invalid request gets a 400 or 404 that names the field") {
   EventLog seen;
-  Peer one(box(seen, [](TestConnection&, const Message&) { return false; }));
+  ScriptedServer one(box(seen, [](TestConnection&, const Message&) { return false; }));
   Appliance appliance({one.address()});
   CHECK(body_of(appliance.get("/v1/models"))["data"][1]["id"] == "m-ajuste");
   CHECK(body_of(appliance.get("/v1/models/m-ajuste"))["object"] == "model");
@@ -69,7 +69,7 @@
     if (wire.closed_within(3000)) seen.add("stream ended");
     return false;
   };
-  Peer one(box(seen, chat)), two(box(seen, chat));
+  ScriptedServer one(box(seen, chat)), two(box(seen, chat));
   Appliance appliance({one.address(), two.address()});
   const auto client = appliance.connect();
   client->send(Appliance::request(Appliance::body("m-ajuste", true)));
@@ -87,7 +87,7 @@
     wire.send(events({"{\"x\":1}", error}));
     return true;
   };
-  Peer one(box(seen, chat)), two(box(seen, chat));
+  ScriptedServer one(box(seen, chat)), two(box(seen, chat));
   Appliance appliance({one.address(), two.address()});
   const std::string answer = appliance.chat(Appliance::body("m-consulta", true));
   CHECK(has(answer, "data: {\"x\":1}\n\n"));
@@ -100,7 +100,7 @@
 
 TEST_CASE("Chat: a stream that ends early gets an error event from the conductor") {
   EventLog seen;
-  Peer one(box(seen, [](TestConnection& wire, const Message&) {
+  ScriptedServer one(box(seen, [](TestConnection& wire, const Message&) {
     wire.send(stream_head() + chunk("data: {\"x\":1}\n\n"));
     return false;
   }));
@@ -137,7 +137,7 @@
         wire.send(simple(c.status, "{\"error\":{\"message\":\"no\"}}", c.headers));
         return true;
       };
-      Peer one(box(seen, chat)), two(box(seen, chat));
+      ScriptedServer one(box(seen, chat)), two(box(seen, chat));
       Appliance appliance({one.address(), two.address()});
       const std::string answer = appliance.chat(Appliance::body(c.model, stream));
       INFO(c.status << " " << c.model << " " << answer);
@@ -163,7 +163,7 @@
     wire.send(simple("200 OK", "{\"whole\":1}"));
     return true;
   };
-  Peer one(box(seen, chat)), two(box(seen, chat));
+  ScriptedServer one(box(seen, chat)), two(box(seen, chat));
   Appliance appliance({one.address(), two.address()});
   CHECK(body_of(appliance.chat(Appliance::body("m-consulta", false)))["whole"] == 1);
   CHECK(seen.count(kChat) == 2);
@@ -171,8 +171,9 @@
 
 TEST_CASE("Checks: agent-check, health and console reflect instance state, drains and shutdown") {
   EventLog seen;
-  Peer one(box(seen, [](TestConnection&, const Message&) { return false; }));
-  auto two = std::make_unique<Peer>(box(seen, [](TestConnection&, const Message&) { return false; }));
+  ScriptedServer one(box(seen, [](TestConnection&, const Message&) { return false; }));
+  auto two =
+      std::make_unique<ScriptedServer>(box(seen, [](TestConnection&, const Message&) { return false; }));
   Appliance appliance({one.address(), two->address()});
   CHECK(appliance.agent_reports("up 100%\n"));
   CHECK(appliance.get("/-/healthy").starts_with("HTTP/1.1 200"));
@@ -209,7 +210,7 @@
     };
   };
   EventLog requests;
-  Peer one(box(requests, recording_script("one"))), two(box(requests, recording_script("two")));
+  ScriptedServer one(box(requests, recording_script("one"))), two(box(requests, recording_script("two")));
   Appliance appliance({one.address(), two.address()});
   CHECK(appliance.page("POST", "/-/boxes/b1/drain").starts_with("HTTP/1.1 204"));
   for (int i = 0; i < 4; ++i) {
@@ -224,7 +225,7 @@
     wire.send(events({"{}", "[DONE]"}));
     return true;
   };
-  Peer one(box(first_seen, answer)), two(box(second_seen, answer));
+  ScriptedServer one(box(first_seen, answer)), two(box(second_seen, answer));
   Appliance appliance({one.address()});
   CHECK(appliance.page("POST", "/-/boxes/b1/drain").starts_with("HTTP/1.1 204"));
   json new_file = appliance.file();
--- a/tests/integration/chat_test.cpp
+++ b/tests/integration/chat_test.cpp
@@ -16,7 +16,7 @@
 
 std::string whole_stream() { return stream_head() + chunk(kEvent) + chunk("data: [DONE]\n\n") + "0\r\n\r\n"; }
 
-Peer::Script answering(EventLog& seen) {
+ScriptedServer::Script answering(EventLog& seen) {
   return box(seen, [](TestConnection& wire, const Message& m) {
     if (json::parse(m.body).value("stream", false)) {
       wire.send(whole_stream());
@@ -33,7 +33,7 @@
   EventLog seen;
   const std::string cut_event = "data: {\"choices\":[{\"delta\":{\"content\":\"never whole\"}}]}\n\n";
   std::atomic<std::size_t> cut{0};
-  Peer one(box(seen, [&](TestConnection& wire, const Message&) {
+  ScriptedServer one(box(seen, [&](TestConnection& wire, const Message&) {
     wire.send(stream_head() + chunk(kEvent) + (cut > 0 ? chunk(cut_event.substr(0, cut)) : ""));
     return false;
   }));
@@ -55,7 +55,7 @@
   const std::string first = "data: {\"choices\":[]}\r\n\r\n", last = "data: [DONE]\r\n\r\n";
   for (std::size_t cut = last.size() - 4; cut < last.size(); ++cut) {
     EventLog client_progress;
-    Peer one(box(seen, [&](TestConnection& wire, const Message&) {
+    ScriptedServer one(box(seen, [&](TestConnection& wire, const Message&) {
       wire.send(stream_head() + chunk(first) + chunk(last.substr(0, cut)));
       if (!client_progress.wait_for("has the first")) return false;
       wire.send(chunk(last.substr(cut)) + "0\r\n\r\n");
@@ -77,7 +77,7 @@
   constexpr std::size_t kEvents = 4000, kSize = 8192;  // 32 MB
   std::atomic<std::size_t> sent{0};
   const std::string event = "data: {\"x\":\"" + std::string(kSize, 'x') + "\"}\n\n";
-  Peer one(box(seen, [&](TestConnection& wire, const Message&) {
+  ScriptedServer one(box(seen, [&](TestConnection& wire, const Message&) {
     wire.send(stream_head());
     for (std::size_t i = 0; i < kEvents; ++i) {
       wire.send(chunk(event));
@@ -105,11 +105,11 @@
 
 TEST_CASE("Chat: a consulta that fails at one instance is retried at the idle one every time") {
   EventLog good, bad;
-  Peer failing(box(bad, [](TestConnection& wire, const Message&) {
+  ScriptedServer failing(box(bad, [](TestConnection& wire, const Message&) {
     wire.send(simple("500 Internal Server Error", "{\"error\":{\"message\":\"x\"}}"));
     return true;
   }));
-  Peer serves(answering(good));
+  ScriptedServer serves(answering(good));
   Appliance appliance({failing.address(), serves.address()});
   for (int i = 0; i < 10; ++i) {
     CHECK(appliance.chat(Appliance::body("m-consulta", false)).starts_with("HTTP/1.1 200"));
@@ -119,7 +119,7 @@
 
 TEST_CASE("Chat: a client that sends 12 MB before it reads still receives its 413") {
   EventLog seen;
-  Peer one(answering(seen));
+  ScriptedServer one(answering(seen));
   Appliance appliance({one.address()});
   const auto client = appliance.connect();
   client->send("POST /v1/chat/completions HTTP/1.1\r\nContent-Length: 12582912\r\n\r\n");
@@ -134,7 +134,7 @@
 TEST_CASE(
     "Chat: prompts of 6 MB are served until body memory is used up, and then one gets 503 with Retry-After") {
   EventLog seen;
-  Peer one(box(seen, [](TestConnection& wire, const Message&) {
+  ScriptedServer one(box(seen, [](TestConnection& wire, const Message&) {
     std::this_thread::sleep_for(400ms);
     wire.send(simple("200 OK", "{\"choices\":[]}"));
     return true;
@@ -160,7 +160,7 @@
 
 TEST_CASE("Chat: 10,000 malformed requests each get an error or a close, and none reaches an instance") {
   EventLog seen;
-  Peer one(answering(seen));
+  ScriptedServer one(answering(seen));
   Appliance appliance({one.address()});
   std::mt19937 random(20261201);
   const std::string good = Appliance::body("m-ajuste", true);
@@ -227,8 +227,8 @@
 TEST_CASE(
     "Chat: 300 clients at once, a third hostile, one instance stops, one drains: valid ones are served") {
   EventLog seen;
-  Peer first(answering(seen)), third(answering(seen));
-  auto stopped = std::make_unique<Peer>(answering(seen));
+  ScriptedServer first(answering(seen)), third(answering(seen));
+  auto stopped = std::make_unique<ScriptedServer>(answering(seen));
   Appliance appliance({first.address(), stopped->address(), third.address()}, {{"idle_timeout_s", 1}});
   std::atomic<bool> finished{false};
   std::atomic<int> hostile_connected{0};
--- a/tests/integration/delayed_loop_test.cpp
+++ b/tests/integration/delayed_loop_test.cpp
@@ -42,7 +42,7 @@
 TEST_CASE(
     "Pool: a request is served even if the idle timeout of its connection expires in the same iteration") {
   EventLog seen;
-  Peer instance([&seen](TestConnection& wire) {
+  ScriptedServer instance([&seen](TestConnection& wire) {
     seen.add("connection");
     while (const auto request = wire.receive()) {
       seen.add(request->first);
@@ -76,7 +76,7 @@
 }
 
 TEST_CASE("Pool: connections established while the loop is delayed beyond the connect timeout are used") {
-  Peer instance([](TestConnection& wire) {
+  ScriptedServer instance([](TestConnection& wire) {
     while (wire.receive()) wire.send(simple("200 OK", "ok"));
   });
   constexpr core::Duration kConnect = 50ms;
@@ -137,7 +137,7 @@
     "Attempt: the remaining time sent to an instance is that at the first byte, not before the connect") {
   constexpr core::Duration kTimeLeft = 2s, kDelay = 400ms;
   EventLog received;
-  Peer instance([&received](TestConnection& wire) {
+  ScriptedServer instance([&received](TestConnection& wire) {
     const auto request = wire.receive();
     if (!request) return;
     received.add(request->headers.at("x-remaining-ms"));
--- a/tests/integration/evhttp_test.cpp
+++ b/tests/integration/evhttp_test.cpp
@@ -103,13 +103,13 @@
 TEST_CASE("evhttp's client reports the same error for a request never sent and one that may have run") {
   net::Loop loop;
   Results unwritten, written;
-  Peer stuck(
+  ScriptedServer stuck(
       [](TestConnection& wire) {
         std::this_thread::sleep_for(100ms);
         wire.reset();
       },
       4096);
-  Peer read([](TestConnection& wire) {
+  ScriptedServer read([](TestConnection& wire) {
     wire.receive();
     wire.reset();
   });
--- a/tests/integration/operations_test.cpp
+++ b/tests/integration/operations_test.cpp
@@ -14,7 +14,7 @@
 namespace {
 
 // Script of an instance for prefill and decode that answers every request and records its own name for each.
-Peer::Script answering_instance(EventLog& seen, const std::string& name) {
+ScriptedServer::Script answering_instance(EventLog& seen, const std::string& name) {
   return [&seen, name](TestConnection& wire) {
     while (const auto request = wire.receive()) {
       if (request->first.starts_with("POST /v1")) seen.add(name);
@@ -64,7 +64,7 @@
 
 TEST_CASE("The management address answers only its own calls and silent connections do not block it") {
   EventLog seen;
-  Peer a(answering_instance(seen, "a"));
+  ScriptedServer a(answering_instance(seen, "a"));
   ManagedConductor conductor({{"a", "mixto", a.address()}});
   std::vector<std::unique_ptr<TestConnection>> silent_connections;
   for (int i = 0; i < 40; ++i) {  // more than the limit of connections
@@ -101,8 +101,8 @@
 
 TEST_CASE("Metrics match known traffic") {
   EventLog seen;
-  Peer a(answering_instance(seen, "a"));
-  Peer broken([](TestConnection& wire) {
+  ScriptedServer a(answering_instance(seen, "a"));
+  ScriptedServer broken([](TestConnection& wire) {
     while (wire.receive()) wire.send(simple("500 Internal Server Error"));
   });
   ManagedConductor conductor({{"a", "mixto", a.address()}, {"b", "mixto", "127.0.0.1:1"}});
@@ -124,7 +124,7 @@
 
 TEST_CASE("A disabled instance gets no requests until it is enabled once, whatever discovery lists") {
   EventLog seen;
-  Peer a(answering_instance(seen, "a")), b(answering_instance(seen, "b"));
+  ScriptedServer a(answering_instance(seen, "a")), b(answering_instance(seen, "b"));
   const std::vector<Platform::Instance> both{{"a", "mixto", a.address()}, {"b", "mixto", b.address()}};
   ManagedConductor conductor(both);
   CHECK(conductor.status("POST /-/instances/a/disable") == 200);
@@ -146,7 +146,7 @@
 TEST_CASE(
     "A drained conductor is not ready, closes idle connections, still answers requests and can be resumed") {
   EventLog seen;
-  Peer a(answering_instance(seen, "a"));
+  ScriptedServer a(answering_instance(seen, "a"));
   ManagedConductor conductor({{"a", "mixto", a.address()}});
   const std::string ready = "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n";
   const auto idle = conductor.platform.connect();
@@ -167,8 +167,8 @@
 
 TEST_CASE("A new process takes over the passed socket without failed requests and keeps instances disabled") {
   EventLog seen;
-  Peer a(answering_instance(seen, "a"));
-  Peer slow([&seen](TestConnection& wire) {
+  ScriptedServer a(answering_instance(seen, "a"));
+  ScriptedServer slow([&seen](TestConnection& wire) {
     while (const auto request = wire.receive()) {
       if (!request->first.starts_with("POST /v1")) {
         wire.send(simple("204 No Content"));
@@ -211,7 +211,7 @@
 
 // Script of an instance that starts a stream, waits for "go on" in the record, and then sends the rest byte
 // by byte or, with `breaks`, closes the connection.
-Peer::Script slow_instance(EventLog& seen, bool breaks = false) {
+ScriptedServer::Script slow_instance(EventLog& seen, bool breaks = false) {
   return [&seen, breaks](TestConnection& wire) {
     while (const auto request = wire.receive()) {
       if (!request->first.starts_with("POST /v1")) {
@@ -261,7 +261,7 @@
 
 TEST_CASE("Running streams and their client connections continue in the next process without loss") {
   EventLog seen;
-  Peer slow(slow_instance(seen));
+  ScriptedServer slow(slow_instance(seen));
   ManagedConductor conductor({{"s", "mixto", slow.address()}}, true);
   constexpr int kStreams = 40;
   std::vector<std::unique_ptr<TestConnection>> clients;
@@ -292,7 +292,7 @@
 
 TEST_CASE("A handed-over stream whose instance fails is cut off without a final chunk") {
   EventLog seen;
-  Peer slow(slow_instance(seen, true));
+  ScriptedServer slow(slow_instance(seen, true));
   ManagedConductor conductor({{"s", "mixto", slow.address()}}, true);
   const auto client = conductor.platform.connect();
   client->send(keep_alive_request("held"));
@@ -308,7 +308,7 @@
 TEST_CASE(
     "Without a next process a stream ends in its own and only a passed socket opens the handover socket") {
   EventLog seen;
-  Peer slow(slow_instance(seen));
+  ScriptedServer slow(slow_instance(seen));
   for (const bool passed : {true, false}) {
     ManagedConductor conductor({{"s", "mixto", slow.address()}}, passed);
     const auto name = std::filesystem::path(conductor.directory) / "bankmux-n1-streams";
--- a/tests/integration/peers.cpp
+++ b/tests/integration/peers.cpp
@@ -169,7 +169,7 @@
   close();
 }
 
-Peer::Peer(Script script, int receive_buffer) : script_(std::move(script)) {
+ScriptedServer::ScriptedServer(Script script, int receive_buffer) : script_(std::move(script)) {
   listener_ = bound_socket(port_, receive_buffer);
   // The backlog of a real server: a hundred simultaneous connects overflow a short one, and the kernel drops
   // them silently.
@@ -177,7 +177,7 @@
   thread_ = std::thread([this] { accept_all(); });
 }
 
-void Peer::accept_all() {
+void ScriptedServer::accept_all() {
   for (;;) {
     const int socket = accept4(listener_, nullptr, nullptr, SOCK_CLOEXEC);
     if (socket < 0 || ending_) return;
@@ -190,7 +190,7 @@
   }
 }
 
-Peer::~Peer() {
+ScriptedServer::~ScriptedServer() {
   ending_ = true;
   shutdown(listener_, SHUT_RDWR);
   thread_.join();
--- a/tests/integration/peers.hpp
+++ b/tests/integration/peers.hpp
@@ -58,13 +58,13 @@
   std::string buffer_;
 };
 
-class Peer {
+class ScriptedServer {
  public:
   using Script = std::function<void(TestConnection&)>;
-  explicit Peer(Script script, int receive_buffer = 0);
-  ~Peer();
-  Peer(const Peer&) = delete;
-  Peer& operator=(const Peer&) = delete;
+  explicit ScriptedServer(Script script, int receive_buffer = 0);
+  ~ScriptedServer();
+  ScriptedServer(const ScriptedServer&) = delete;
+  ScriptedServer& operator=(const ScriptedServer&) = delete;
   [[nodiscard]] int port() const { return port_; }
   [[nodiscard]] std::string address() const { return "127.0.0.1:" + std::to_string(port_); }
 
--- a/tests/integration/platform_fixture.cpp
+++ b/tests/integration/platform_fixture.cpp
@@ -46,7 +46,7 @@
 Platform::Platform(const std::vector<Instance>& known, const json& settings,
                    const std::map<std::string, std::string>& environment)
     : environment_(environment) {
-  discovery_ = std::make_unique<Peer>([this](TestConnection& wire) {
+  discovery_ = std::make_unique<ScriptedServer>([this](TestConnection& wire) {
     const auto request = wire.receive();
     if (!request) return;
     watches.add(request->first);
--- a/tests/integration/platform_fixture.hpp
+++ b/tests/integration/platform_fixture.hpp
@@ -57,7 +57,7 @@
   int watch_breaks_ = 0;
   bool refuse_ = false, silent_ = false;
   std::size_t first_line_ = 0;  // index of the first line sent to a new watch
-  std::unique_ptr<Peer> discovery_;
+  std::unique_ptr<ScriptedServer> discovery_;
   std::unique_ptr<Program> program_;
 };
 
--- a/tests/integration/platform_protocol_test.cpp
+++ b/tests/integration/platform_protocol_test.cpp
@@ -15,8 +15,8 @@
 }
 
 // Instance that answers requests on a kept connection through `reply`, and records their method and target.
-Peer::Script scripted_instance(EventLog& seen,
-                               const std::function<bool(TestConnection&, const Message&)>& reply) {
+ScriptedServer::Script scripted_instance(EventLog& seen,
+                                         const std::function<bool(TestConnection&, const Message&)>& reply) {
   return [&seen, reply](TestConnection& wire) {
     while (const auto request = wire.receive()) {
       seen.add(request->first.substr(0, request->first.rfind(' ')));
@@ -40,13 +40,13 @@
     "A request is prefilled, its decode instance claimed early, and decoded, with its content unchanged") {
   EventLog seen;
   Message prefill_request, decode_request;
-  Peer prefill_instance(scripted_instance(seen, [&](TestConnection& wire, const Message& m) {
+  ScriptedServer prefill_instance(scripted_instance(seen, [&](TestConnection& wire, const Message& m) {
     prefill_request = m;
     if (!seen.wait_for("POST /bootstrap/rooms/t1")) return false;  // the claim is sent during the prefill
     wire.send(simple("202 Accepted", "{\"cached_tokens\":0}"));
     return true;
   }));
-  Peer decode_instance(scripted_instance(seen, [&](TestConnection& wire, const Message& m) {
+  ScriptedServer decode_instance(scripted_instance(seen, [&](TestConnection& wire, const Message& m) {
     if (m.first.starts_with("POST /bootstrap")) {
       wire.send(simple("200 OK"));
     } else {
@@ -81,7 +81,7 @@
 // and be queued behind all others.
 TEST_CASE("X-Org selects the tenant by its name in the settings") {
   EventLog seen;
-  Peer decode_instance(scripted_instance(seen, [&](TestConnection& wire, const Message&) {
+  ScriptedServer decode_instance(scripted_instance(seen, [&](TestConnection& wire, const Message&) {
     wire.send(events({"{\"x\":1}", "[DONE]"}));
     return true;
   }));
@@ -106,11 +106,11 @@
 
 TEST_CASE("A client that leaves during the prefill ends it at once, and the held KV cache is released") {
   EventLog seen;
-  Peer prefill_instance(scripted_instance(seen, [&](TestConnection& wire, const Message&) {
+  ScriptedServer prefill_instance(scripted_instance(seen, [&](TestConnection& wire, const Message&) {
     if (wire.closed_within(3000)) seen.add("read ended");
     return false;
   }));
-  Peer decode_instance(scripted_instance(seen, [](TestConnection& wire, const Message&) {
+  ScriptedServer decode_instance(scripted_instance(seen, [](TestConnection& wire, const Message&) {
     wire.send(simple("409 Conflict"));
     return true;
   }));
@@ -127,7 +127,7 @@
 
 TEST_CASE("An ajuste that may have run is not retried, even if a kept connection broke") {
   EventLog seen;
-  Peer decode_instance(scripted_instance(seen, [&](TestConnection& wire, const Message&) {
+  ScriptedServer decode_instance(scripted_instance(seen, [&](TestConnection& wire, const Message&) {
     if (seen.count(kChat) == 1) {
       wire.send(events({"[DONE]"}));
       return true;
@@ -152,7 +152,7 @@
     wire.send(events({"[DONE]"}));
     return true;
   };
-  Peer one(scripted_instance(seen, reply)), two(scripted_instance(seen, reply));
+  ScriptedServer one(scripted_instance(seen, reply)), two(scripted_instance(seen, reply));
   Platform platform({{"w1", "mixto", one.address()}, {"w2", "mixto", two.address()}});
   CHECK(platform.ask(client_request("t5", "consulta", 5000, 100)).starts_with("HTTP/1.1 200"));
   CHECK(seen.count(kChat) == 2);
@@ -161,14 +161,14 @@
 TEST_CASE("An ajuste whose last byte was never written has not run and is retried elsewhere") {
   EventLog seen;
   // Its socket buffers are smaller than the request; it reads nothing and then resets the connection.
-  Peer stuck(
+  ScriptedServer stuck(
       [&](TestConnection& wire) {
         std::this_thread::sleep_for(std::chrono::milliseconds(300));
         seen.add("broken off");
         wire.reset();
       },
       4096);
-  Peer well(scripted_instance(seen, [](TestConnection& wire, const Message&) {
+  ScriptedServer well(scripted_instance(seen, [](TestConnection& wire, const Message&) {
     wire.send(events({"[DONE]"}));
     return true;
   }));
@@ -183,7 +183,7 @@
 
 TEST_CASE("A stream that breaks ends without the final chunk") {
   EventLog seen;
-  Peer decode_instance(scripted_instance(seen, [](TestConnection& wire, const Message&) {
+  ScriptedServer decode_instance(scripted_instance(seen, [](TestConnection& wire, const Message&) {
     wire.send(stream_head() + chunk("data: {\"x\":1}\n\n"));
     std::this_thread::sleep_for(std::chrono::milliseconds(50));
     return false;
@@ -197,7 +197,7 @@
 
 TEST_CASE("Events are forwarded as they arrive, not at the end of the stream") {
   EventLog seen;
-  Peer decode_instance(scripted_instance(seen, [&](TestConnection& wire, const Message&) {
+  ScriptedServer decode_instance(scripted_instance(seen, [&](TestConnection& wire, const Message&) {
     wire.send(stream_head() + chunk("data: one\n\n"));
     seen.wait_for("client has one");
     wire.send(chunk("data: two\n\n") + "0\r\n\r\n");
@@ -213,7 +213,7 @@
 
 TEST_CASE("With a silent instance, the client gets one answer at its deadline and the attempt is closed") {
   EventLog seen;
-  Peer decode_instance(scripted_instance(seen, [&](TestConnection& wire, const Message&) {
+  ScriptedServer decode_instance(scripted_instance(seen, [&](TestConnection& wire, const Message&) {
     if (wire.closed_within(5000)) seen.add("attempt closed");
     return false;
   }));
@@ -229,7 +229,7 @@
 
 TEST_CASE("A release is retried until it is answered") {
   EventLog seen;
-  Peer prefill_instance([&](TestConnection& wire) {
+  ScriptedServer prefill_instance([&](TestConnection& wire) {
     const auto request = wire.receive();
     if (!request) return;
     seen.add(request->first.substr(0, request->first.find(' ')));
@@ -241,7 +241,7 @@
       wire.send(simple("204 No Content"));
     }
   });
-  Peer decode_instance(scripted_instance(seen, [](TestConnection& wire, const Message&) {
+  ScriptedServer decode_instance(scripted_instance(seen, [](TestConnection& wire, const Message&) {
     wire.send(simple("409 Conflict"));
     return true;
   }));
@@ -256,7 +256,7 @@
 
 TEST_CASE("A refusal by overloaded instances is passed on with Retry-After") {
   EventLog seen;
-  Peer decode_instance(scripted_instance(seen, [](TestConnection& wire, const Message&) {
+  ScriptedServer decode_instance(scripted_instance(seen, [](TestConnection& wire, const Message&) {
     wire.send(simple("503 Service Unavailable", "", "X-Turned-Away: 1\r\n"));
     return true;
   }));
@@ -268,7 +268,7 @@
 
 TEST_CASE("Requests that violate the protocol get 400 or 413, and the program keeps serving") {
   EventLog seen;
-  Peer decode_instance(scripted_instance(seen, [](TestConnection& wire, const Message&) {
+  ScriptedServer decode_instance(scripted_instance(seen, [](TestConnection& wire, const Message&) {
     wire.send(events({"[DONE]"}));
     return true;
   }));
@@ -314,7 +314,7 @@
       }
     };
   };
-  Peer one(record_requests("one")), two(record_requests("two"));
+  ScriptedServer one(record_requests("one")), two(record_requests("two"));
   const Platform::Instance w1{"w1", "mixto", one.address()}, w2{"w2", "mixto", two.address()};
   Platform platform({w1});
   REQUIRE(platform.watches.wait_for("GET /api/targets?follow=1&since=1 HTTP/1.1"));
@@ -351,7 +351,7 @@
     wire.send(events({"{\"x\":1}", "[DONE]"}));
     return true;
   };
-  Peer a(scripted_instance(first, serves)), b(scripted_instance(second, serves));
+  ScriptedServer a(scripted_instance(first, serves)), b(scripted_instance(second, serves));
   nlohmann::json site = site_settings();
   site["nInstances"] = 300;
   const Platform::Instance w1{"w1", "mixto", a.address()}, w2{"w2", "mixto", b.address()};
@@ -375,7 +375,7 @@
 
 TEST_CASE("A discovery that refuses calls is called at growing intervals, and the watch is reopened later") {
   EventLog seen;
-  Peer one([&seen](TestConnection& wire) {
+  ScriptedServer one([&seen](TestConnection& wire) {
     while (wire.receive()) {
       seen.add("one");
       wire.send(events({"[DONE]"}));
@@ -403,7 +403,7 @@
 // there is no time left.
 TEST_CASE("SIGTERM: a connection closes with the end of its stream and takes no further request") {
   EventLog seen;
-  Peer decode_instance(scripted_instance(seen, [&](TestConnection& wire, const Message&) {
+  ScriptedServer decode_instance(scripted_instance(seen, [&](TestConnection& wire, const Message&) {
     wire.send(stream_head() + chunk("data: 1\n\n"));
     if (!seen.wait_for("told")) return false;
     wire.send(chunk("data: [DONE]\n\n") + "0\r\n\r\n");
@@ -428,11 +428,11 @@
 // no response.
 TEST_CASE("SIGTERM: unanswered requests are ended in time, and their held KV caches are released") {
   EventLog seen;
-  Peer prefill_instance(scripted_instance(seen, [&](TestConnection& wire, const Message&) {
+  ScriptedServer prefill_instance(scripted_instance(seen, [&](TestConnection& wire, const Message&) {
     (void)wire.closed_within(9000);  // never answers
     return false;
   }));
-  Peer decode_instance(scripted_instance(seen, [](TestConnection& wire, const Message&) {
+  ScriptedServer decode_instance(scripted_instance(seen, [](TestConnection& wire, const Message&) {
     wire.send(simple("409 Conflict"));
     return true;
   }));
@@ -452,7 +452,7 @@
 
 TEST_CASE("SIGTERM: accepted requests and late connections are answered, then the program exits with 0") {
   EventLog seen;
-  Peer decode_instance(scripted_instance(seen, [&](TestConnection& wire, const Message& m) {
+  ScriptedServer decode_instance(scripted_instance(seen, [&](TestConnection& wire, const Message& m) {
     if (m.headers.at("x-txn") == "slow") seen.wait_for("late one answered");
     wire.send(events({"[DONE]"}));
     return true;
@@ -499,7 +499,7 @@
 TEST_CASE("After a kept connection has broken under a request, an ajuste is sent on new connections only") {
   EventLog seen;
   // Answers the first request of each connection and resets the connection at the second one.
-  Peer only([&](TestConnection& wire) {
+  ScriptedServer only([&](TestConnection& wire) {
     for (int asked = 0; const auto request = wire.receive(); ++asked) {
       if (request->first.starts_with("DELETE")) {
         wire.send(simple("204 No Content"));
@@ -554,7 +554,7 @@
     wire.send("HTTP/1.1 102 Processing\r\n\r\n" + events({"[DONE]"}) + events({"stray"}));
     return true;
   };
-  Peer one(scripted_instance(seen, script)), two(scripted_instance(seen, script));
+  ScriptedServer one(scripted_instance(seen, script)), two(scripted_instance(seen, script));
   for (const auto& [kind, text] : spoilt) {
     CAPTURE(kind);
     Platform platform({{"a", "mixto", one.address()}, {"b", "mixto", two.address()}});
@@ -595,7 +595,7 @@
     "Faulty requests of one client affect neither the health of an instance nor other clients' requests") {
   EventLog seen;
   std::atomic<bool> go_on{false};
-  Peer only(scripted_instance(seen, [&](TestConnection& wire, const Message& m) {
+  ScriptedServer only(scripted_instance(seen, [&](TestConnection& wire, const Message& m) {
     if (m.headers.at("x-txn") == "w") {
       for (int i = 0; i < 500 && !go_on; ++i) std::this_thread::sleep_for(std::chrono::milliseconds(10));
     }
@@ -629,22 +629,22 @@
 TEST_CASE("SIGHUP: a faulty file changes nothing, a valid one moves the watch, and no request is lost") {
   EventLog seen, watches, last_watches;
   std::atomic<bool> go_on{false};
-  Peer old_instance(scripted_instance(seen, [&](TestConnection& wire, const Message&) {
+  ScriptedServer old_instance(scripted_instance(seen, [&](TestConnection& wire, const Message&) {
     wire.send(stream_head() + chunk("data: 1\n\n"));
     for (int i = 0; i < 500 && !go_on; ++i) std::this_thread::sleep_for(std::chrono::milliseconds(10));
     wire.send(chunk("data: [DONE]\n\n") + "0\r\n\r\n");
     return true;
   }));
-  Peer new_instance(scripted_instance(seen, [&](TestConnection& wire, const Message&) {
+  ScriptedServer new_instance(scripted_instance(seen, [&](TestConnection& wire, const Message&) {
     wire.send(events({"new", "[DONE]"}));
     return true;
   }));
-  Peer newest_instance(scripted_instance(seen, [&](TestConnection& wire, const Message&) {
+  ScriptedServer newest_instance(scripted_instance(seen, [&](TestConnection& wire, const Message&) {
     wire.send(events({"newest", "[DONE]"}));
     return true;
   }));
   // Discovery services whose version numbers are lower than those that the program has seen.
-  const auto discovery_with = [](EventLog& watched, const Peer& instance) {
+  const auto discovery_with = [](EventLog& watched, const ScriptedServer& instance) {
     return [&](TestConnection& wire) {
       const auto request = wire.receive();
       wire.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" +
@@ -654,8 +654,8 @@
       }
     };
   };
-  Peer moved(discovery_with(watches, new_instance));
-  Peer moved_again(discovery_with(last_watches, newest_instance));
+  ScriptedServer moved(discovery_with(watches, new_instance));
+  ScriptedServer moved_again(discovery_with(last_watches, newest_instance));
   Platform platform({{"o", "mixto", old_instance.address()}});
   REQUIRE(platform.watches.wait_for("GET /api/targets?follow=1&since=1 HTTP/1.1"));
   const auto client = platform.connect();
--- a/tests/integration/race_condition_test.cpp
+++ b/tests/integration/race_condition_test.cpp
@@ -21,7 +21,7 @@
 }
 
 // Answers every request on each connection with one event, and records the X-Txn or the request line.
-Peer::Script serve_requests(EventLog& seen) {
+ScriptedServer::Script serve_requests(EventLog& seen) {
   return [&seen](TestConnection& wire) {
     while (const auto request = wire.receive()) {
       const auto txn = request->headers.find("x-txn");
@@ -54,7 +54,7 @@
   for (const char* how : {"closes", "half-closes", "closes behind much else"}) {
     CAPTURE(how);
     EventLog seen;
-    Peer instance(serve_requests(seen));
+    ScriptedServer instance(serve_requests(seen));
     Platform platform({});
     const auto client = platform.connect();
     // A request waits only while an instance is listed, so one is listed that refuses connections and is set
@@ -79,7 +79,7 @@
 TEST_CASE("Crossing: input that arrives during the last response does not destroy the response") {
   EventLog seen;
   const std::string text(200 * 1024, 'y');
-  Peer instance([&](TestConnection& wire) {
+  ScriptedServer instance([&](TestConnection& wire) {
     if (!wire.receive()) return;
     wire.send(stream_head() + chunk("data: " + text + "\n\n") + "0\r\n\r\n");
     seen.add("written");
@@ -99,7 +99,7 @@
 
 TEST_CASE("Crossing: a late duplicate response is not taken for the response to the next request") {
   EventLog seen;
-  Peer instance([&](TestConnection& wire) {
+  ScriptedServer instance([&](TestConnection& wire) {
     std::optional<std::chrono::steady_clock::time_point> answered;
     while (const auto request = wire.receive()) {
       // Sends the duplicate late, but within the time in which instances do so.
@@ -124,7 +124,7 @@
 // Simulates the duplicate answer to a probe or claim, as an attempt on the reused connection would see it.
 TEST_CASE("Crossing: a 200 that is no event stream is not accepted as an answer") {
   EventLog seen;
-  Peer instance([&](TestConnection& wire) {
+  ScriptedServer instance([&](TestConnection& wire) {
     if (!wire.receive()) return;
     seen.add("asked");
     wire.send(simple("200 OK", "{\"x1\":3}", "Content-Type: application/json\r\n"));
@@ -138,7 +138,7 @@
 
 TEST_CASE("Crossing: a refusal with an incomplete body ends its attempt soon, and another instance serves") {
   EventLog seen;
-  Peer stuck([&](TestConnection& wire) {
+  ScriptedServer stuck([&](TestConnection& wire) {
     if (!wire.receive()) return;
     seen.add("refused");
     wire.send("HTTP/1.1 503 Service Unavailable\r\nX-Turned-Away: 1\r\nContent-Length: 100\r\n\r\nno");
@@ -148,7 +148,7 @@
   const auto client = platform.connect();
   client->send(client_request("moves", "ajuste", 8000, 100));
   REQUIRE(seen.wait_for("refused"));
-  Peer well(serve_requests(seen));
+  ScriptedServer well(serve_requests(seen));
   platform.push(Platform::line(2, false, {{"b", "mixto", well.address()}}));
   CHECK(seen.wait_for("moves", 1, 2500));
   CHECK(client->receive_all().starts_with("HTTP/1.1 200"));
@@ -159,7 +159,7 @@
 
 TEST_CASE("Crossing: a second SIGTERM ends no accepted request") {
   EventLog seen;
-  Peer instance([&](TestConnection& wire) {
+  ScriptedServer instance([&](TestConnection& wire) {
     if (!wire.receive()) return;
     seen.add("taken");
     if (!seen.wait_for("told twice")) return;
@@ -180,7 +180,7 @@
 
 TEST_CASE("Crossing: a second SIGINT refuses requests that have not begun and ends the program") {
   EventLog seen;
-  Peer instance([&](TestConnection& wire) {
+  ScriptedServer instance([&](TestConnection& wire) {
     if (!wire.receive()) return;
     seen.add("taken");
     (void)wire.closed_within(9000);
@@ -199,7 +199,7 @@
 
 TEST_CASE("Crossing: connections in the backlog when accepting stops are answered") {
   EventLog seen;
-  Peer instance(serve_requests(seen));
+  ScriptedServer instance(serve_requests(seen));
   Platform platform({{"w", "mixto", instance.address()}});
   signal_shutdown(platform, SIGTERM);
   platform.program().send_signal(SIGSTOP);
@@ -218,7 +218,7 @@
 
 TEST_CASE("Crossing: a request that arrives as its idle connection is closed is sent to no instance") {
   EventLog seen;
-  Peer instance(serve_requests(seen));
+  ScriptedServer instance(serve_requests(seen));
   Platform platform({{"w", "mixto", instance.address()}});
   const auto resting = platform.connect();
   resting->send(without_close(client_request("first", "consulta", 5000, 100)));
@@ -235,7 +235,7 @@
 // A request that arrives while its new connection is closed for silence would be lost if it were read.
 TEST_CASE("Crossing: a request that arrives as its silent connection is closed is not read") {
   EventLog seen;
-  Peer instance(serve_requests(seen));
+  ScriptedServer instance(serve_requests(seen));
   Platform platform({{"w", "mixto", instance.address()}});
   const auto silent = platform.connect();
   REQUIRE(silent->closed_within(5000));
@@ -260,7 +260,7 @@
 
 TEST_CASE("Crossing: an indented list that arrives in pieces is accepted like any other") {
   EventLog seen;
-  Peer one(serve_requests(seen)), two(serve_requests(seen));
+  ScriptedServer one(serve_requests(seen)), two(serve_requests(seen));
   Platform platform({{"w1", "mixto", "127.0.0.1:1"}});
   REQUIRE(platform.watches.wait_for("GET /api/targets?follow=1&since=1 HTTP/1.1"));
   const auto indented = [](const std::string& line) { return nlohmann::json::parse(line).dump(2); };
@@ -287,14 +287,14 @@
 
 // Discovery service with a script for each call; the last script serves all further calls.
 struct ScriptedDiscovery {
-  explicit ScriptedDiscovery(std::vector<Peer::Script> scripts)
+  explicit ScriptedDiscovery(std::vector<ScriptedServer::Script> scripts)
       : peer([this, scripts = std::move(scripts)](TestConnection& wire) {
           if (!wire.receive()) return;
           const std::size_t now = number++;
           seen.add("call");
           scripts[std::min(now, scripts.size() - 1)](wire);
         }) {}
-  static Peer::Script list(const Platform::Instance& instance, bool stays) {
+  static ScriptedServer::Script list(const Platform::Instance& instance, bool stays) {
     return [=](TestConnection& wire) {
       wire.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" +
                 chunk(Platform::line(2, true, {instance}) + "\n"));
@@ -307,14 +307,14 @@
   }
   EventLog seen;
   std::atomic<std::size_t> number{0};
-  Peer peer;
+  ScriptedServer peer;
 };
 
 // If the new discovery were still treated as the shared service of a large fleet, a silent call would last 3
 // s and the following wait up to 6 s.
 TEST_CASE("Crossing: a new discovery after SIGHUP is called without regard to refusals of the old one") {
   EventLog seen;
-  Peer instance(serve_requests(seen));
+  ScriptedServer instance(serve_requests(seen));
   nlohmann::json site = site_settings();
   site["nInstances"] = 50;
   Platform platform({}, site);
@@ -342,7 +342,7 @@
 TEST_CASE(
     "Crossing: a refusal after the end of a working watch counts as the first failure, not the second") {
   EventLog seen;
-  Peer instance(serve_requests(seen));
+  ScriptedServer instance(serve_requests(seen));
   const Platform::Instance w{"w", "mixto", instance.address()};
   ScriptedDiscovery moved(
       {ScriptedDiscovery::list(w, false), ScriptedDiscovery::refused, ScriptedDiscovery::list(w, true)});
@@ -365,7 +365,7 @@
 
 TEST_CASE("Crossing: idle clients that use up their descriptors leave enough for discovery and instances") {
   EventLog seen;
-  Peer instance(serve_requests(seen));
+  ScriptedServer instance(serve_requests(seen));
   // A request waits while an instance is listed, even one that refuses connections.
   Platform platform({{"gone", "mixto", "127.0.0.1:1"}});
   const std::string call = "GET /api/targets?follow=1&since=1 HTTP/1.1";
@@ -393,7 +393,7 @@
        {"d", "data: {\"choices\":", "data: 1\n", ": a comment\n\n", ": a comment\n\ndata"}) {
     CAPTURE(part);
     EventLog seen;
-    Peer breaks([&](TestConnection& wire) {
+    ScriptedServer breaks([&](TestConnection& wire) {
       const auto request = wire.receive();
       if (!request) return;
       seen.add("breaks");
@@ -401,7 +401,7 @@
       std::this_thread::sleep_for(50ms);  // lets the program read these bytes before the reset discards them
       wire.reset();
     });
-    Peer serves(serve_requests(seen));
+    ScriptedServer serves(serve_requests(seen));
     Platform platform({{"b", "mixto", breaks.address()}});
     REQUIRE(platform.watches.wait_for("GET /api/targets?follow=1&since=1 HTTP/1.1"));
     // A request that may run twice is retried elsewhere, and the client gets only that answer.
@@ -417,7 +417,7 @@
 
 TEST_CASE("Crossing: a request that must not be repeated and breaks off within its first event fails") {
   EventLog seen;
-  Peer breaks([&](TestConnection& wire) {
+  ScriptedServer breaks([&](TestConnection& wire) {
     if (!wire.receive()) return;
     seen.add("breaks");
     wire.send(stream_head() + chunk("data: {"));
@@ -434,7 +434,7 @@
 
 TEST_CASE("Crossing: a first event that arrives byte by byte, and what follows, reach the client unchanged") {
   const std::string stream = ": hello\r\n\r\ndata: 1\r\n\r\ndata: 2\n\ndata: [DONE]\n\n";
-  Peer instance([&](TestConnection& wire) {
+  ScriptedServer instance([&](TestConnection& wire) {
     if (!wire.receive()) return;
     wire.send(stream_head());
     for (const char byte : stream) {
@@ -462,7 +462,7 @@
     "Crossing: each event is forwarded within 0.3 s, even if split, while other clients flood and leave") {
   EventLog seen;
   constexpr int kEvents = 20;
-  Peer instance([&](TestConnection& wire) {
+  ScriptedServer instance([&](TestConnection& wire) {
     if (!wire.receive()) return;
     wire.send(stream_head());
     for (int i = 0; i < kEvents; ++i) {
@@ -500,7 +500,7 @@
 
 TEST_CASE("Crossing: missing, zero or very short settings are served for every effect of a class") {
   EventLog seen;
-  Peer instance(serve_requests(seen));
+  ScriptedServer instance(serve_requests(seen));
   const auto site = [](const std::string& pointer, const nlohmann::json& value) {
     nlohmann::json settings = site_settings();
     settings[nlohmann::json::json_pointer(pointer)] = value;
--- a/tests/integration/recovery_test.cpp
+++ b/tests/integration/recovery_test.cpp
@@ -120,7 +120,7 @@
     wire.send(stream_head() + chunk(all_of(events_after(written))) + "0\r\n\r\n");
     return true;
   });
-  Peer one(script), two(script);
+  ScriptedServer one(script), two(script);
   json changes = with_continuation();
   changes["max_attempts"] = 4;
   Appliance appliance({one.address(), two.address()}, changes);
@@ -148,7 +148,7 @@
     wire.reset();
     return false;
   });
-  Peer one(script), two(script);
+  ScriptedServer one(script), two(script);
   Appliance appliance({one.address(), two.address()}, with_continuation());
   const std::string answer = appliance.chat(Appliance::body("m-ajuste", true));
   CHECK(has(answer, "look before asking again"));
@@ -170,7 +170,7 @@
     wire.send(stream_head() + chunk(all_of(events)) + "0\r\n\r\n");
     return true;
   });
-  Peer one(script), two(script), three(script);
+  ScriptedServer one(script), two(script), three(script);
   Appliance appliance({one.address(), two.address(), three.address()}, with_continuation());
   const ParsedStream h = parse_stream(appliance.chat(kConsulta));
   CHECK(h.text == whole_text());
@@ -204,7 +204,7 @@
       }
       return true;
     });
-    Peer one(script), two(script);
+    ScriptedServer one(script), two(script);
     Appliance appliance({one.address(), two.address()}, with_continuation());
     const std::string answer = appliance.chat(kConsulta);
     INFO(answer);
@@ -234,7 +234,7 @@
     wire.send(stream_head() + chunk(all_of(events)) + "0\r\n\r\n");
     return true;
   });
-  Peer one(script), two(script);
+  ScriptedServer one(script), two(script);
   Appliance appliance({one.address(), two.address()}, with_continuation());
   const std::string answer = appliance.chat(kConsulta);
   const ParsedStream h = parse_stream(answer);
@@ -260,7 +260,7 @@
     seen.add(wire.closed_within(5000) ? "ended" : "goes on");
     return false;
   });
-  Peer one(script), two(script);
+  ScriptedServer one(script), two(script);
   Appliance appliance({one.address(), two.address()}, with_continuation());
   {
     const auto client = appliance.connect();
@@ -278,7 +278,7 @@
     wire.reset();
     return false;
   });
-  Peer one(script), two(script);
+  ScriptedServer one(script), two(script);
   Appliance appliance({one.address(), two.address()});
   CHECK(has(appliance.chat(kConsulta), "stream_broken"));
   CHECK(seen.count(kChat) == 1);
--- a/tests/integration/repeat_test.cpp
+++ b/tests/integration/repeat_test.cpp
@@ -36,8 +36,8 @@
 TEST_CASE("Repeat: a late duplicate of a refusal is not applied to the next request") {
   EventLog seen;
   std::atomic<bool> refused{false};
-  Peer prefill(serve_prefill);
-  Peer decode([&](TestConnection& wire) {
+  ScriptedServer prefill(serve_prefill);
+  ScriptedServer decode([&](TestConnection& wire) {
     std::optional<Clock::time_point> answered;
     while (const auto message = wire.receive()) {
       if (!is_request(*message)) {
@@ -92,8 +92,8 @@
       wire.send(simple("202 Accepted", "{\"cached_tokens\":0}"));
     }
   };
-  Peer first(script), second(script);
-  Peer decode([](TestConnection& wire) {
+  ScriptedServer first(script), second(script);
+  ScriptedServer decode([](TestConnection& wire) {
     while (const auto message = wire.receive()) {
       wire.send(is_request(*message) ? events({"[DONE]"}) : simple("204 No Content"));
     }
@@ -111,7 +111,7 @@
 // there has no effect, so it was followed by another one.
 TEST_CASE("Repeat: an instance without a kind in the list is not taken for a prefill instance") {
   EventLog seen;
-  Peer resetting([&](TestConnection& wire) {
+  ScriptedServer resetting([&](TestConnection& wire) {
     if (const auto message = wire.receive(); message && is_request(*message)) seen.add("executed");
     wire.reset();
   });
@@ -266,7 +266,7 @@
   bool prefill_only_;
   std::mutex mutex_;
   std::mt19937 generator_;
-  Peer peer_;
+  ScriptedServer peer_;
 };
 
 nlohmann::json settings_with_three_effects() {
