--- a/bench/ajuste_day.cpp
+++ b/bench/ajuste_day.cpp
@@ -100,7 +100,7 @@
 void measure(int requests, bool with_ledger) {
   ExecutionCounts runs;
   ScriptedServer one(simulated_instance(runs, kSeed)), two(simulated_instance(runs, kSeed + 1));
-  const std::string address = own_address();
+  const std::string address = unique_address();
   const json file = {
       {"listen", address},
       {"classes", {{{"name", "ajuste"}, {"repeat", "never"}, {"deadline_s", 5}}}},
--- a/bench/chat_load.cpp
+++ b/bench/chat_load.cpp
@@ -114,7 +114,7 @@
   const int requests = argc > 1 ? std::atoi(argv[1]) : 4000;
   const int large_open = argc > 2 ? std::atoi(argv[2]) : 4;
   ScriptedServer one(serve_instance), two(serve_instance);
-  const std::string address = own_address();
+  const std::string address = unique_address();
   const std::string key = argc > 4 ? argv[4] : "";
   json file = {
       {"listen", address},
--- a/bench/lost_streams.cpp
+++ b/bench/lost_streams.cpp
@@ -120,7 +120,7 @@
   std::atomic<bool> down{false}, up{false};
   ScriptedServer one(simulated_instance(reset_after, down)), two(simulated_instance(reset_after, up)),
       three(simulated_instance(reset_after, up));
-  const std::string address = own_address();
+  const std::string address = unique_address();
   const json file = {
       {"listen", address},
       {"classes", {{{"name", "c"}, {"repeat", "safe"}, {"deadline_s", 10}, {"first_token_s", 5}}}},
--- a/tests/conformance/main.cpp
+++ b/tests/conformance/main.cpp
@@ -144,7 +144,7 @@
   [[nodiscard]] std::unique_ptr<TestConnection> connect() const { return TestConnection::to(address_); }
 
  private:
-  std::string address_ = own_address();
+  std::string address_ = unique_address();
   std::unique_ptr<Program> program_;
 };
 
--- a/tests/handover_test.cpp
+++ b/tests/handover_test.cpp
@@ -107,8 +107,8 @@
 TEST_CASE("Unsent output of a client is handed over with its connection, response head included") {
   net::Loop loop;
   std::unique_ptr<net::IncomingRequest> taken_over;
-  net::HttpServer next(loop, integration::own_address(), [](std::unique_ptr<net::IncomingRequest>) {}, {});
-  const std::string address = integration::own_address();
+  net::HttpServer next(loop, integration::unique_address(), [](std::unique_ptr<net::IncomingRequest>) {}, {});
+  const std::string address = integration::unique_address();
   net::HttpServer server(loop, address,
                          [&](std::unique_ptr<net::IncomingRequest> incoming) {
                            incoming->begin(200, {{"Content-Type", "text/event-stream"}});
--- a/tests/integration/accept_failure_test.cpp
+++ b/tests/integration/accept_failure_test.cpp
@@ -54,7 +54,7 @@
 
 struct TestServer {
   net::Loop loop;
-  std::string address = own_address();
+  std::string address = unique_address();
   net::HttpServer server{
       loop, address, [](std::unique_ptr<net::IncomingRequest> incoming) { incoming->answer(200, {}, "ok"); },
       net::ServerLimits{}};
--- a/tests/integration/appliance_world.hpp
+++ b/tests/integration/appliance_world.hpp
@@ -121,7 +121,7 @@
   Program& program() { return *program_; }
 
  private:
-  std::string chat_ = own_address(), page_ = own_address(), agent_ = own_address();
+  std::string chat_ = unique_address(), page_ = unique_address(), agent_ = unique_address();
   nlohmann::json file_;
   std::string path_;
   std::unique_ptr<Program> program_;
--- a/tests/integration/delayed_loop_test.cpp
+++ b/tests/integration/delayed_loop_test.cpp
@@ -114,7 +114,7 @@
   constexpr auto kRequestTime = 2500ms;
   constexpr int kClients = 200;
   net::Loop loop;
-  const std::string address = own_address();
+  const std::string address = unique_address();
   net::HttpServer server(
       loop, address, [](std::unique_ptr<net::IncomingRequest> incoming) { incoming->answer(200, {}, "ok"); },
       net::ServerLimits{});
@@ -178,7 +178,7 @@
 
 TEST_CASE("Server: a client's close is detected through the kernel before the loop has reported it") {
   net::Loop loop;
-  const std::string address = own_address();
+  const std::string address = unique_address();
   std::unique_ptr<net::IncomingRequest> request;
   net::HttpServer server(
       loop, address,
--- a/tests/integration/evhttp_test.cpp
+++ b/tests/integration/evhttp_test.cpp
@@ -62,7 +62,7 @@
             nullptr);
       },
       nullptr);
-  const std::string address = own_address();
+  const std::string address = unique_address();
   const std::size_t colon = address.find(':');
   REQUIRE(evhttp_bind_socket(http.get(), address.substr(0, colon).c_str(),
                              static_cast<std::uint16_t>(std::stoi(address.substr(colon + 1)))) == 0);
@@ -79,7 +79,7 @@
   net::Loop loop;
   std::unique_ptr<net::IncomingRequest> pending;
   bool gone = false;
-  const std::string address = own_address();
+  const std::string address = unique_address();
   net::HttpServer server(
       loop, address,
       [&](std::unique_ptr<net::IncomingRequest> incoming) {
--- a/tests/integration/operations_test.cpp
+++ b/tests/integration/operations_test.cpp
@@ -54,7 +54,7 @@
   }
   std::string ask(const std::string& txn) { return platform.ask(client_request(txn, "consulta", 5000, 100)); }
 
-  std::string listen = own_address(), mgmt = own_address();
+  std::string listen = unique_address(), mgmt = unique_address();
   char directory[32] = "/tmp/bankmux-ops-XXXXXX";
   int socket;
   Platform platform;
@@ -188,7 +188,7 @@
   conductor.platform.push(Platform::line(2, true, both));
   CHECK(conductor.status("POST /-/instances/s/disable") == 200);
 
-  const std::string second = own_address();
+  const std::string second = unique_address();
   const auto next = conductor.platform.start({{"PROXY_MGMT", second}});
   REQUIRE(Program::listens(second));
   bool ready = false;
@@ -271,7 +271,7 @@
     clients.back()->send(keep_alive_request("held-" + std::to_string(i)));
     begun.push_back(clients.back()->receive_until("data: 1\n\n"));
   }
-  const std::string second = own_address();
+  const std::string second = unique_address();
   const auto next = next_version(conductor, second);
   conductor.platform.program().terminate();
   CHECK(conductor.platform.program().wait() == 0);  // exits before any stream has ended
@@ -297,7 +297,7 @@
   const auto client = conductor.platform.connect();
   client->send(keep_alive_request("held"));
   REQUIRE(client->receive_until("data: 1\n\n").ends_with("data: 1\n\n"));
-  const auto next = next_version(conductor, own_address());
+  const auto next = next_version(conductor, unique_address());
   conductor.platform.program().terminate();
   CHECK(conductor.platform.program().wait() == 0);
   seen.add("go on");
--- a/tests/integration/peers.cpp
+++ b/tests/integration/peers.cpp
@@ -290,7 +290,7 @@
   return {std::istreambuf_iterator<char>(file), {}};
 }
 
-std::string own_address() {
+std::string unique_address() {
   static int given = 0;
   const int pid = getpid();
   ++given;
--- a/tests/integration/peers.hpp
+++ b/tests/integration/peers.hpp
@@ -121,7 +121,7 @@
 };
 
 // A loopback address for the program to listen at, unique within the test process and to it.
-std::string own_address();
+std::string unique_address();
 // A socket that listens at the address and is inherited by programs started from now on.
 int listening_socket(const std::string& address);
 // Creates a file that is deleted when the test process ends.
--- a/tests/integration/platform_fixture.hpp
+++ b/tests/integration/platform_fixture.hpp
@@ -47,7 +47,7 @@
   [[nodiscard]] std::unique_ptr<Program> start(const std::map<std::string, std::string>& over) const;
 
  private:
-  std::string listen_ = own_address();
+  std::string listen_ = unique_address();
   std::map<std::string, std::string> environment_;
   nlohmann::json config_;
   std::string file_;
--- a/tests/integration/repeat_test.cpp
+++ b/tests/integration/repeat_test.cpp
@@ -391,7 +391,7 @@
     programs[i] = platform.start({{"PROXY_LISTEN", addresses[i]}});
     programs[i]->expect_listening(addresses[i]);
   };
-  while (addresses.size() < kProcesses) addresses.push_back(own_address());
+  while (addresses.size() < kProcesses) addresses.push_back(unique_address());
   for (std::size_t i = 1; i < kProcesses; ++i) start(i);
 
   std::atomic<bool> over{false};
