--- a/tests/faults/stand_in_platform.cpp
+++ b/tests/faults/stand_in_platform.cpp
@@ -8,7 +8,7 @@
 
 using Kind = HistoryEvent::Kind;
 using integration::Message;
-using integration::simple;
+using integration::plain_response;
 using integration::TestConnection;
 
 namespace {
@@ -54,11 +54,11 @@
       platform_.history_.add(Kind::released, id, id_);
       platform_.held_caches_.erase(id);
     }
-    wire.send(simple("204 No Content"));
+    wire.send(plain_response("204 No Content"));
     return true;
   }
   if (request.first.starts_with("GET")) {
-    wire.send(simple("200 OK", "concurrent=0"));
+    wire.send(plain_response("200 OK", "concurrent=0"));
     return true;
   }
   const std::string id = request.headers.contains("x-txn") ? request.headers.at("x-txn") : "";
@@ -85,7 +85,7 @@
   platform_.ever_held_.insert(id);
   platform_.history_.add(Kind::attempt_ended, id, id_, "read");
   platform_.history_.add(Kind::cache_held, id, id_);
-  wire.send(simple("202 Accepted", "{\"cached_tokens\":0}"));
+  wire.send(plain_response("202 Accepted", "{\"cached_tokens\":0}"));
   if (silence_after_prefill_) {
     // The answer has to pass before its connection is silenced.
     std::this_thread::sleep_for(std::chrono::milliseconds(20));
@@ -102,7 +102,7 @@
     if (cache_released) platform_.history_.add(Kind::attempt_ended, id, id_, "no cache");
   }
   if (cache_released) {
-    wire.send(simple("410 Gone", "", kRejectedHeader));
+    wire.send(plain_response("410 Gone", "", kRejectedHeader));
     return true;
   }
   const ServiceTimes& service_times = platform_.service_times_;
@@ -127,7 +127,7 @@
     platform_.history_.add(Kind::reservation_held, id, id_);
   }
   if (!prefilling) (void)wire.closed_within(kUnknownReservationDelayMs);
-  wire.send(prefilling ? simple("200 OK") : simple("204 No Content"));
+  wire.send(prefilling ? plain_response("200 OK") : plain_response("204 No Content"));
 }
 
 SimulatedPlatform::SimulatedPlatform(int prefill_servers, int decode_servers, ServiceTimes service_times,
--- a/tests/fleet/fleet_rig.cpp
+++ b/tests/fleet/fleet_rig.cpp
@@ -22,7 +22,7 @@
       while (const auto request = wire.receive()) {
         if (request->first.starts_with("GET /v1/models")) {
           health_checks_.add("asked");
-          wire.send(simple("200 OK", "{\"object\":\"list\",\"data\":[]}"));
+          wire.send(plain_response("200 OK", "{\"object\":\"list\",\"data\":[]}"));
         } else {
           requests_.add("request");
           wire.send(events(
--- a/tests/integration/admission_test.cpp
+++ b/tests/integration/admission_test.cpp
@@ -19,7 +19,7 @@
 
 std::string stream_text() { return stream_head() + chunk(kEvent) + chunk("data: [DONE]\n\n") + "0\r\n\r\n"; }
 std::string json_answer(const char* status, const std::string& body) {
-  return simple(status, body, "Content-Type: application/json\r\n");
+  return plain_response(status, body, "Content-Type: application/json\r\n");
 }
 ScriptedServer::Script answering(EventLog& seen) {
   return box(seen, [](TestConnection& wire, const Message& m) {
@@ -133,7 +133,7 @@
   EventLog seen;
   std::atomic<bool> full{true};
   ScriptedServer one(box(seen, [&](TestConnection& wire, const Message&) {
-    wire.send(full ? simple("429 Too Many Requests", "") : json_answer("200 OK", kWhole));
+    wire.send(full ? plain_response("429 Too Many Requests", "") : json_answer("200 OK", kWhole));
     return true;
   }));
   KeyFile keys;
@@ -253,7 +253,7 @@
   ScriptedServer one(box(seen, [&](TestConnection& wire, const Message&) {
     switch (step) {
       case 0:
-        wire.send(simple("429 Too Many Requests", ""));
+        wire.send(plain_response("429 Too Many Requests", ""));
         return true;
       case 1:
         wire.send(json_answer("200 OK", kWhole));
@@ -370,7 +370,8 @@
   EventLog seen;
   std::atomic<int> step{0};
   const auto script = box(seen, [&](TestConnection& wire, const Message&) {
-    wire.send(step++ == 0 ? simple("500 Internal Server Error", "{}") : simple("429 Too Many Requests", ""));
+    wire.send(step++ == 0 ? plain_response("500 Internal Server Error", "{}")
+                          : plain_response("429 Too Many Requests", ""));
     return true;
   });
   ScriptedServer one(script), two(script);
--- a/tests/integration/appliance_test.cpp
+++ b/tests/integration/appliance_test.cpp
@@ -15,7 +15,8 @@
     if (json::parse(m.body)["stream"] == true) {
       wire.send(events({"{\"choices\":[{\"delta\":{\"content\":\"ok\"}}]}", "[DONE]"}));
     } else {
-      wire.send(simple("200 OK", "{\"object\":\"chat.completion\"}", "Content-Type: application/json\r\n"));
+      wire.send(
+          plain_response("200 OK", "{\"object\":\"chat.completion\"}", "Content-Type: application/json\r\n"));
     }
     return true;
   }));
@@ -134,7 +135,7 @@
     for (const bool stream : {true, false}) {
       EventLog seen;
       const auto chat = [&](TestConnection& wire, const Message&) {
-        wire.send(simple(c.status, "{\"error\":{\"message\":\"no\"}}", c.headers));
+        wire.send(plain_response(c.status, "{\"error\":{\"message\":\"no\"}}", c.headers));
         return true;
       };
       ScriptedServer one(box(seen, chat)), two(box(seen, chat));
@@ -160,7 +161,7 @@
       wire.send("HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\n{\"half\":");
       return false;
     }
-    wire.send(simple("200 OK", "{\"whole\":1}"));
+    wire.send(plain_response("200 OK", "{\"whole\":1}"));
     return true;
   };
   ScriptedServer one(box(seen, chat)), two(box(seen, chat));
--- a/tests/integration/appliance_world.hpp
+++ b/tests/integration/appliance_world.hpp
@@ -35,7 +35,7 @@
   return [&seen, chat](TestConnection& wire) {
     while (const auto request = wire.receive()) {
       if (request->first.starts_with("GET /v1/models")) {
-        wire.send(simple("200 OK", "{\"object\":\"list\",\"data\":[]}"));
+        wire.send(plain_response("200 OK", "{\"object\":\"list\",\"data\":[]}"));
         continue;
       }
       seen.add(request->first);
--- a/tests/integration/chat_test.cpp
+++ b/tests/integration/chat_test.cpp
@@ -21,7 +21,7 @@
     if (json::parse(m.body).value("stream", false)) {
       wire.send(whole_stream());
     } else {
-      wire.send(simple("200 OK", "{\"choices\":[]}"));
+      wire.send(plain_response("200 OK", "{\"choices\":[]}"));
     }
     return true;
   });
@@ -106,7 +106,7 @@
 TEST_CASE("Chat: a consulta that fails at one instance is retried at the idle one every time") {
   EventLog good, bad;
   ScriptedServer failing(box(bad, [](TestConnection& wire, const Message&) {
-    wire.send(simple("500 Internal Server Error", "{\"error\":{\"message\":\"x\"}}"));
+    wire.send(plain_response("500 Internal Server Error", "{\"error\":{\"message\":\"x\"}}"));
     return true;
   }));
   ScriptedServer serves(answering(good));
@@ -136,7 +136,7 @@
   EventLog seen;
   ScriptedServer one(box(seen, [](TestConnection& wire, const Message&) {
     std::this_thread::sleep_for(400ms);
-    wire.send(simple("200 OK", "{\"choices\":[]}"));
+    wire.send(plain_response("200 OK", "{\"choices\":[]}"));
     return true;
   }));
   Appliance appliance({one.address()}, {{"memory_mb", 64}});  // of which 12.8 MB are for bodies
--- a/tests/integration/delayed_loop_test.cpp
+++ b/tests/integration/delayed_loop_test.cpp
@@ -46,7 +46,7 @@
     seen.add("connection");
     while (const auto request = wire.receive()) {
       seen.add(request->first);
-      wire.send(simple("200 OK", "ok"));
+      wire.send(plain_response("200 OK", "ok"));
     }
   });
   constexpr core::Duration kIdle = 100ms;
@@ -77,7 +77,7 @@
 
 TEST_CASE("Pool: connections established while the loop is delayed beyond the connect timeout are used") {
   ScriptedServer instance([](TestConnection& wire) {
-    while (wire.receive()) wire.send(simple("200 OK", "ok"));
+    while (wire.receive()) wire.send(plain_response("200 OK", "ok"));
   });
   constexpr core::Duration kConnect = 50ms;
   constexpr int kRequests = 60;  // more than the loop reports per iteration, fewer than a listener's backlog
--- a/tests/integration/operations_test.cpp
+++ b/tests/integration/operations_test.cpp
@@ -18,7 +18,8 @@
   return [&seen, name](TestConnection& wire) {
     while (const auto request = wire.receive()) {
       if (request->first.starts_with("POST /v1")) seen.add(name);
-      wire.send(request->first.starts_with("POST /v1") ? events({"[DONE]"}) : simple("204 No Content"));
+      wire.send(request->first.starts_with("POST /v1") ? events({"[DONE]"})
+                                                       : plain_response("204 No Content"));
     }
   };
 }
@@ -103,7 +104,7 @@
   EventLog seen;
   ScriptedServer a(answering_instance(seen, "a"));
   ScriptedServer broken([](TestConnection& wire) {
-    while (wire.receive()) wire.send(simple("500 Internal Server Error"));
+    while (wire.receive()) wire.send(plain_response("500 Internal Server Error"));
   });
   ManagedConductor conductor({{"a", "mixto", a.address()}, {"b", "mixto", "127.0.0.1:1"}});
   for (int i = 0; i < 5; ++i) CHECK(conductor.ask("t" + std::to_string(i)).starts_with("HTTP/1.1 200"));
@@ -171,7 +172,7 @@
   ScriptedServer slow([&seen](TestConnection& wire) {
     while (const auto request = wire.receive()) {
       if (!request->first.starts_with("POST /v1")) {
-        wire.send(simple("204 No Content"));
+        wire.send(plain_response("204 No Content"));
         continue;
       }
       seen.add("slow");
@@ -215,7 +216,7 @@
   return [&seen, breaks](TestConnection& wire) {
     while (const auto request = wire.receive()) {
       if (!request->first.starts_with("POST /v1")) {
-        wire.send(simple("204 No Content"));
+        wire.send(plain_response("204 No Content"));
         continue;
       }
       seen.add("asked");
--- a/tests/integration/platform_fixture.cpp
+++ b/tests/integration/platform_fixture.cpp
@@ -155,7 +155,7 @@
   return text + "0\r\n\r\n";
 }
 
-std::string simple(const std::string& status, const std::string& body, const std::string& headers) {
+std::string plain_response(const std::string& status, const std::string& body, const std::string& headers) {
   return "HTTP/1.1 " + status + "\r\n" + headers + "Content-Length: " + std::to_string(body.size()) +
          "\r\n\r\n" + body;
 }
--- a/tests/integration/platform_fixture.hpp
+++ b/tests/integration/platform_fixture.hpp
@@ -70,6 +70,7 @@
 std::string events(const std::vector<std::string>& data);  // response head and complete chunked stream
 std::string stream_head();
 std::string chunk(const std::string& data);
-std::string simple(const std::string& status, const std::string& body = "", const std::string& headers = "");
+std::string plain_response(const std::string& status, const std::string& body = "",
+                           const std::string& headers = "");
 
 }  // namespace integration
--- a/tests/integration/platform_protocol_test.cpp
+++ b/tests/integration/platform_protocol_test.cpp
@@ -21,7 +21,7 @@
     while (const auto request = wire.receive()) {
       seen.add(request->first.substr(0, request->first.rfind(' ')));
       if (request->first.starts_with("DELETE")) {
-        wire.send(simple("204 No Content"));
+        wire.send(plain_response("204 No Content"));
       } else if (!reply(wire, *request)) {
         return;
       }
@@ -43,12 +43,12 @@
   ScriptedServer prefill_instance(scripted_instance(seen, [&](TestConnection& wire, const Message& m) {
     prefill_request = m;
     if (!seen.wait_for("POST /bootstrap/rooms/t1")) return false;  // the claim is sent during the prefill
-    wire.send(simple("202 Accepted", "{\"cached_tokens\":0}"));
+    wire.send(plain_response("202 Accepted", "{\"cached_tokens\":0}"));
     return true;
   }));
   ScriptedServer decode_instance(scripted_instance(seen, [&](TestConnection& wire, const Message& m) {
     if (m.first.starts_with("POST /bootstrap")) {
-      wire.send(simple("200 OK"));
+      wire.send(plain_response("200 OK"));
     } else {
       decode_request = m;
       wire.send(events({"{\"x\":1}", "[DONE]"}));
@@ -111,7 +111,7 @@
     return false;
   }));
   ScriptedServer decode_instance(scripted_instance(seen, [](TestConnection& wire, const Message&) {
-    wire.send(simple("409 Conflict"));
+    wire.send(plain_response("409 Conflict"));
     return true;
   }));
   Platform platform(
@@ -238,11 +238,11 @@
     } else if (seen.count("DELETE") < 3) {
       wire.reset();  // the first two are lost
     } else {
-      wire.send(simple("204 No Content"));
+      wire.send(plain_response("204 No Content"));
     }
   });
   ScriptedServer decode_instance(scripted_instance(seen, [](TestConnection& wire, const Message&) {
-    wire.send(simple("409 Conflict"));
+    wire.send(plain_response("409 Conflict"));
     return true;
   }));
   Platform platform(
@@ -257,7 +257,7 @@
 TEST_CASE("A refusal by overloaded instances is passed on with Retry-After") {
   EventLog seen;
   ScriptedServer decode_instance(scripted_instance(seen, [](TestConnection& wire, const Message&) {
-    wire.send(simple("503 Service Unavailable", "", "X-Turned-Away: 1\r\n"));
+    wire.send(plain_response("503 Service Unavailable", "", "X-Turned-Away: 1\r\n"));
     return true;
   }));
   Platform platform({{"w", "mixto", decode_instance.address()}});
@@ -433,7 +433,7 @@
     return false;
   }));
   ScriptedServer decode_instance(scripted_instance(seen, [](TestConnection& wire, const Message&) {
-    wire.send(simple("409 Conflict"));
+    wire.send(plain_response("409 Conflict"));
     return true;
   }));
   Platform platform(
@@ -502,7 +502,7 @@
   ScriptedServer only([&](TestConnection& wire) {
     for (int asked = 0; const auto request = wire.receive(); ++asked) {
       if (request->first.starts_with("DELETE")) {
-        wire.send(simple("204 No Content"));
+        wire.send(plain_response("204 No Content"));
         continue;
       }
       if (asked > 0) {
@@ -600,7 +600,7 @@
       for (int i = 0; i < 500 && !go_on; ++i) std::this_thread::sleep_for(std::chrono::milliseconds(10));
     }
     const bool odd = m.headers.at("x-txn").starts_with("odd");
-    wire.send(odd ? simple("404 Not Found", "no use\n") : events({"[DONE]"}));
+    wire.send(odd ? plain_response("404 Not Found", "no use\n") : events({"[DONE]"}));
     return true;
   }));
   Platform platform({{"w", "mixto", only.address()}});
--- a/tests/integration/race_condition_test.cpp
+++ b/tests/integration/race_condition_test.cpp
@@ -127,7 +127,7 @@
   ScriptedServer instance([&](TestConnection& wire) {
     if (!wire.receive()) return;
     seen.add("asked");
-    wire.send(simple("200 OK", "{\"x1\":3}", "Content-Type: application/json\r\n"));
+    wire.send(plain_response("200 OK", "{\"x1\":3}", "Content-Type: application/json\r\n"));
   });
   Platform platform({{"w", "mixto", instance.address()}});
   const std::string answer = platform.ask(client_request("odd", "ajuste", 1500, 100));
--- a/tests/integration/recovery_test.cpp
+++ b/tests/integration/recovery_test.cpp
@@ -196,7 +196,7 @@
         return false;
       }
       if (rejects) {
-        wire.send(simple("400 Bad Request", R"({"error":{"message":"unknown field"}})"));
+        wire.send(plain_response("400 Bad Request", R"({"error":{"message":"unknown field"}})"));
       } else {
         const std::string other = event({{"index", 0}, {"delta", {{"content", "Your card was stolen"}}}});
         wire.send(stream_head() + chunk(events[0] + other + events[7] + events[8] + "data: [DONE]\n\n") +
--- a/tests/integration/repeat_test.cpp
+++ b/tests/integration/repeat_test.cpp
@@ -18,14 +18,14 @@
 
 bool is_request(const Message& message) { return message.first.starts_with("POST /v1/"); }
 
-std::string refusal(const std::string& status) { return simple(status, "", "X-Turned-Away: 1\r\n"); }
+std::string refusal(const std::string& status) { return plain_response(status, "", "X-Turned-Away: 1\r\n"); }
 
 // Answers each prefill request with a held KV cache, and every other call with 204. A held KV cache is the
 // state that a prefill instance keeps until a decode instance fetches it.
 void serve_prefill(TestConnection& wire) {
   while (const auto message = wire.receive()) {
-    wire.send(is_request(*message) ? simple("202 Accepted", "{\"cached_tokens\":0}")
-                                   : simple("204 No Content"));
+    wire.send(is_request(*message) ? plain_response("202 Accepted", "{\"cached_tokens\":0}")
+                                   : plain_response("204 No Content"));
   }
 }
 
@@ -41,7 +41,7 @@
     std::optional<Clock::time_point> answered;
     while (const auto message = wire.receive()) {
       if (!is_request(*message)) {
-        wire.send(simple("204 No Content"));
+        wire.send(plain_response("204 No Content"));
         continue;
       }
       if (!refused.exchange(true)) {
@@ -73,7 +73,7 @@
   const auto script = [&](TestConnection& wire) {
     while (const auto message = wire.receive()) {
       if (!is_request(*message)) {
-        wire.send(simple("204 No Content"));
+        wire.send(plain_response("204 No Content"));
         continue;
       }
       const std::string name = message->headers.at("x-txn");
@@ -89,13 +89,13 @@
         return;
       }
       if (closed_at.contains(name)) waits.push_back(now - closed_at[name]);
-      wire.send(simple("202 Accepted", "{\"cached_tokens\":0}"));
+      wire.send(plain_response("202 Accepted", "{\"cached_tokens\":0}"));
     }
   };
   ScriptedServer first(script), second(script);
   ScriptedServer decode([](TestConnection& wire) {
     while (const auto message = wire.receive()) {
-      wire.send(is_request(*message) ? events({"[DONE]"}) : simple("204 No Content"));
+      wire.send(is_request(*message) ? events({"[DONE]"}) : plain_response("204 No Content"));
     }
   });
   Platform platform({{"r1", "lectura", first.address()},
@@ -208,7 +208,7 @@
       const auto message = wire.receive();
       if (!message) return;
       if (!is_request(*message)) {
-        wire.send(simple("204 No Content"));
+        wire.send(plain_response("204 No Content"));
       } else if (!answer(wire, *message, fault)) {
         return;
       }
@@ -227,7 +227,7 @@
         wire.send(refusal("410 Gone"));
         return true;
       case Fault::bare_503:
-        wire.send(simple("503 Service Unavailable"));
+        wire.send(plain_response("503 Service Unavailable"));
         return true;
       case Fault::refusal_cut:
         wire.send("HTTP/1.1 503 Service Unavailable\r\nX-Turned-Away: 1\r\n");
@@ -236,7 +236,7 @@
         wire.send("HTTP/1.1 103 Early Hints\r\nX-Turned-Away: 1\r\n\r\n");
         return false;
       case Fault::error:
-        wire.send(simple("500 Internal Server Error"));
+        wire.send(plain_response("500 Internal Server Error"));
         return true;
       case Fault::head_cut:
         wire.send("HTTP/1.1 200 O");
@@ -257,7 +257,8 @@
         wire.reset();
         return false;
       default:
-        wire.send(prefill_only_ ? simple("202 Accepted", "{\"cached_tokens\":0}") : events({"a", "[DONE]"}));
+        wire.send(prefill_only_ ? plain_response("202 Accepted", "{\"cached_tokens\":0}")
+                                : events({"a", "[DONE]"}));
         return true;
     }
   }
