--- a/tests/fleet/fleet_rig.cpp
+++ b/tests/fleet/fleet_rig.cpp
@@ -25,7 +25,7 @@
           wire.send(plain_response("200 OK", "{\"object\":\"list\",\"data\":[]}"));
         } else {
           requests_.add("request");
-          wire.send(events(
+          wire.send(event_stream(
               {"{\"choices\":[{\"index\":0,\"delta\":{\"content\":\"a\"},\"finish_reason\":\"stop\"}]}",
                "[DONE]"}));
         }
--- a/tests/integration/appliance_test.cpp
+++ b/tests/integration/appliance_test.cpp
@@ -13,7 +13,7 @@
   EventLog seen;
   ScriptedServer one(box(seen, [](TestConnection& wire, const Message& m) {
     if (json::parse(m.body)["stream"] == true) {
-      wire.send(events({"{\"choices\":[{\"delta\":{\"content\":\"ok\"}}]}", "[DONE]"}));
+      wire.send(event_stream({"{\"choices\":[{\"delta\":{\"content\":\"ok\"}}]}", "[DONE]"}));
     } else {
       wire.send(
           plain_response("200 OK", "{\"object\":\"chat.completion\"}", "Content-Type: application/json\r\n"));
@@ -85,7 +85,7 @@
   EventLog seen;
   const std::string error = R"({"error":{"message":"out of memory","type":"server_error"}})";
   const auto chat = [&](TestConnection& wire, const Message&) {
-    wire.send(events({"{\"x\":1}", error}));
+    wire.send(event_stream({"{\"x\":1}", error}));
     return true;
   };
   ScriptedServer one(box(seen, chat)), two(box(seen, chat));
@@ -206,7 +206,7 @@
   const auto recording_script = [&seen](const std::string& name) {
     return [&seen, name](TestConnection& wire, const Message&) {
       seen.add(name);
-      wire.send(events({"[DONE]"}));
+      wire.send(event_stream({"[DONE]"}));
       return true;
     };
   };
@@ -223,7 +223,7 @@
 TEST_CASE("SIGHUP: the appliance reloads instances and models, keeps drains and ignores an invalid file") {
   EventLog first_seen, second_seen;
   const auto answer = [](TestConnection& wire, const Message&) {
-    wire.send(events({"{}", "[DONE]"}));
+    wire.send(event_stream({"{}", "[DONE]"}));
     return true;
   };
   ScriptedServer one(box(first_seen, answer)), two(box(second_seen, answer));
--- a/tests/integration/delayed_loop_test.cpp
+++ b/tests/integration/delayed_loop_test.cpp
@@ -141,7 +141,7 @@
     const auto request = wire.receive();
     if (!request) return;
     received.add(request->headers.at("x-remaining-ms"));
-    wire.send(events({"[DONE]"}));
+    wire.send(event_stream({"[DONE]"}));
   });
   struct CountingEvents : core::AttemptEvents {
     explicit CountingEvents(net::Loop& l) : loop(l) {}
--- a/tests/integration/operations_test.cpp
+++ b/tests/integration/operations_test.cpp
@@ -18,7 +18,7 @@
   return [&seen, name](TestConnection& wire) {
     while (const auto request = wire.receive()) {
       if (request->first.starts_with("POST /v1")) seen.add(name);
-      wire.send(request->first.starts_with("POST /v1") ? events({"[DONE]"})
+      wire.send(request->first.starts_with("POST /v1") ? event_stream({"[DONE]"})
                                                        : plain_response("204 No Content"));
     }
   };
--- a/tests/integration/platform_fixture.cpp
+++ b/tests/integration/platform_fixture.cpp
@@ -149,7 +149,7 @@
   return size + data + "\r\n";
 }
 
-std::string events(const std::vector<std::string>& data) {
+std::string event_stream(const std::vector<std::string>& data) {
   std::string text = stream_head();
   for (const std::string& event : data) text += chunk("data: " + event + "\n\n");
   return text + "0\r\n\r\n";
--- a/tests/integration/platform_fixture.hpp
+++ b/tests/integration/platform_fixture.hpp
@@ -67,7 +67,7 @@
                            const std::string& body = "{\"a\": 1}");
 
 // Responses of an instance.
-std::string events(const std::vector<std::string>& data);  // response head and complete chunked stream
+std::string event_stream(const std::vector<std::string>& data);  // response head and complete chunked stream
 std::string stream_head();
 std::string chunk(const std::string& data);
 std::string plain_response(const std::string& status, const std::string& body = "",
--- a/tests/integration/platform_protocol_test.cpp
+++ b/tests/integration/platform_protocol_test.cpp
@@ -51,7 +51,7 @@
       wire.send(plain_response("200 OK"));
     } else {
       decode_request = m;
-      wire.send(events({"{\"x\":1}", "[DONE]"}));
+      wire.send(event_stream({"{\"x\":1}", "[DONE]"}));
     }
     return true;
   }));
@@ -82,7 +82,7 @@
 TEST_CASE("X-Org selects the tenant by its name in the settings") {
   EventLog seen;
   ScriptedServer decode_instance(scripted_instance(seen, [&](TestConnection& wire, const Message&) {
-    wire.send(events({"{\"x\":1}", "[DONE]"}));
+    wire.send(event_stream({"{\"x\":1}", "[DONE]"}));
     return true;
   }));
   nlohmann::json settings = site_settings();
@@ -129,7 +129,7 @@
   EventLog seen;
   ScriptedServer decode_instance(scripted_instance(seen, [&](TestConnection& wire, const Message&) {
     if (seen.count(kChat) == 1) {
-      wire.send(events({"[DONE]"}));
+      wire.send(event_stream({"[DONE]"}));
       return true;
     }
     wire.reset();
@@ -149,7 +149,7 @@
       wire.reset();
       return false;
     }
-    wire.send(events({"[DONE]"}));
+    wire.send(event_stream({"[DONE]"}));
     return true;
   };
   ScriptedServer one(scripted_instance(seen, reply)), two(scripted_instance(seen, reply));
@@ -169,7 +169,7 @@
       },
       4096);
   ScriptedServer well(scripted_instance(seen, [](TestConnection& wire, const Message&) {
-    wire.send(events({"[DONE]"}));
+    wire.send(event_stream({"[DONE]"}));
     return true;
   }));
   Platform platform({{"w1", "mixto", stuck.address()}});
@@ -269,7 +269,7 @@
 TEST_CASE("Requests that violate the protocol get 400 or 413, and the program keeps serving") {
   EventLog seen;
   ScriptedServer decode_instance(scripted_instance(seen, [](TestConnection& wire, const Message&) {
-    wire.send(events({"[DONE]"}));
+    wire.send(event_stream({"[DONE]"}));
     return true;
   }));
   Platform platform({{"w", "mixto", decode_instance.address()}});
@@ -310,7 +310,7 @@
     return [&seen, name](TestConnection& wire) {
       while (wire.receive()) {
         seen.add(name);
-        wire.send(events({"[DONE]"}));
+        wire.send(event_stream({"[DONE]"}));
       }
     };
   };
@@ -348,7 +348,7 @@
     "A silent discovery is soon called again in any size of fleet, and its changes take effect at once") {
   EventLog first, second;
   const auto serves = [](TestConnection& wire, const Message&) {
-    wire.send(events({"{\"x\":1}", "[DONE]"}));
+    wire.send(event_stream({"{\"x\":1}", "[DONE]"}));
     return true;
   };
   ScriptedServer a(scripted_instance(first, serves)), b(scripted_instance(second, serves));
@@ -378,7 +378,7 @@
   ScriptedServer one([&seen](TestConnection& wire) {
     while (wire.receive()) {
       seen.add("one");
-      wire.send(events({"[DONE]"}));
+      wire.send(event_stream({"[DONE]"}));
     }
   });
   const Platform::Instance w1{"w1", "mixto", one.address()};
@@ -454,7 +454,7 @@
   EventLog seen;
   ScriptedServer decode_instance(scripted_instance(seen, [&](TestConnection& wire, const Message& m) {
     if (m.headers.at("x-txn") == "slow") seen.wait_for("late one answered");
-    wire.send(events({"[DONE]"}));
+    wire.send(event_stream({"[DONE]"}));
     return true;
   }));
   Platform platform({{"w", "mixto", decode_instance.address()}});
@@ -509,7 +509,7 @@
         seen.add("broke");
         return wire.reset();
       }
-      wire.send(events({"[DONE]"}));
+      wire.send(event_stream({"[DONE]"}));
     }
   });
   Platform platform({{"w", "mixto", only.address()}});
@@ -551,7 +551,7 @@
       return false;
     }
     // Surplus responses: an interim one before the answer, a second answer after it.
-    wire.send("HTTP/1.1 102 Processing\r\n\r\n" + events({"[DONE]"}) + events({"stray"}));
+    wire.send("HTTP/1.1 102 Processing\r\n\r\n" + event_stream({"[DONE]"}) + event_stream({"stray"}));
     return true;
   };
   ScriptedServer one(scripted_instance(seen, script)), two(scripted_instance(seen, script));
@@ -600,7 +600,7 @@
       for (int i = 0; i < 500 && !go_on; ++i) std::this_thread::sleep_for(std::chrono::milliseconds(10));
     }
     const bool odd = m.headers.at("x-txn").starts_with("odd");
-    wire.send(odd ? plain_response("404 Not Found", "no use\n") : events({"[DONE]"}));
+    wire.send(odd ? plain_response("404 Not Found", "no use\n") : event_stream({"[DONE]"}));
     return true;
   }));
   Platform platform({{"w", "mixto", only.address()}});
@@ -636,11 +636,11 @@
     return true;
   }));
   ScriptedServer new_instance(scripted_instance(seen, [&](TestConnection& wire, const Message&) {
-    wire.send(events({"new", "[DONE]"}));
+    wire.send(event_stream({"new", "[DONE]"}));
     return true;
   }));
   ScriptedServer newest_instance(scripted_instance(seen, [&](TestConnection& wire, const Message&) {
-    wire.send(events({"newest", "[DONE]"}));
+    wire.send(event_stream({"newest", "[DONE]"}));
     return true;
   }));
   // Discovery services whose version numbers are lower than those that the program has seen.
--- a/tests/integration/race_condition_test.cpp
+++ b/tests/integration/race_condition_test.cpp
@@ -26,7 +26,7 @@
     while (const auto request = wire.receive()) {
       const auto txn = request->headers.find("x-txn");
       seen.add(txn != request->headers.end() ? txn->second : request->first);
-      wire.send(events({"[DONE]"}));
+      wire.send(event_stream({"[DONE]"}));
     }
   };
 }
@@ -105,9 +105,9 @@
       // Sends the duplicate late, but within the time in which instances do so.
       if (answered && std::chrono::steady_clock::now() - *answered < 45ms) {
         seen.add("crossed");
-        wire.send(events({"stray"}));
+        wire.send(event_stream({"stray"}));
       }
-      wire.send(events({request->headers.at("x-txn"), "[DONE]"}));
+      wire.send(event_stream({request->headers.at("x-txn"), "[DONE]"}));
       answered = std::chrono::steady_clock::now();
     }
   });
@@ -163,7 +163,7 @@
     if (!wire.receive()) return;
     seen.add("taken");
     if (!seen.wait_for("told twice")) return;
-    wire.send(events({"[DONE]"}));
+    wire.send(event_stream({"[DONE]"}));
   });
   Platform platform({{"w", "mixto", instance.address()}});
   const auto client = platform.connect();
--- a/tests/integration/repeat_test.cpp
+++ b/tests/integration/repeat_test.cpp
@@ -52,7 +52,7 @@
       seen.add("executed");
       // The duplicate is written only now, but within the 45 ms in which real instances may write one.
       if (answered && Clock::now() - *answered < 45ms) wire.send(refusal("410 Gone"));
-      wire.send(events({"[DONE]"}));
+      wire.send(event_stream({"[DONE]"}));
     }
   });
   Platform platform({{"r", "lectura", prefill.address()}, {"w", "escritura", decode.address()}});
@@ -95,7 +95,7 @@
   ScriptedServer first(script), second(script);
   ScriptedServer decode([](TestConnection& wire) {
     while (const auto message = wire.receive()) {
-      wire.send(is_request(*message) ? events({"[DONE]"}) : plain_response("204 No Content"));
+      wire.send(is_request(*message) ? event_stream({"[DONE]"}) : plain_response("204 No Content"));
     }
   });
   Platform platform({{"r1", "lectura", first.address()},
@@ -258,7 +258,7 @@
         return false;
       default:
         wire.send(prefill_only_ ? plain_response("202 Accepted", "{\"cached_tokens\":0}")
-                                : events({"a", "[DONE]"}));
+                                : event_stream({"a", "[DONE]"}));
         return true;
     }
   }
