--- a/src/admission/door.cpp
+++ b/src/admission/door.cpp
@@ -71,12 +71,12 @@
   // The ledger entry is named by the client's Idempotency-Key. A request without a key whose class must never
   // run twice is named by its session and digest, which a repeat shares with it.
   const bool keyed = !request.idempotency_key.empty();
-  if (ledger_.limits().entries > 0 && (keyed || request.at_most_once)) {
+  if (ledger_.limits().entries > 0 && (keyed || request.once)) {
     const std::string name =
         keyed ? request.idempotency_key : "same " + hex(request.session) + " " + hex(request.digest);
     const bool first = !keyed && request.retry_count <= 0;
     const Ledger::BeginResult begun =
-        ledger_.begin(now, ticket.tenant, name, request.digest, request.at_most_once, first);
+        ledger_.begin(now, ticket.tenant, name, request.digest, request.once, first);
     switch (begun.status) {
       case Ledger::BeginStatus::fresh:
         ticket.ledger_entry = begun.number;
@@ -94,7 +94,7 @@
       case Ledger::BeginStatus::full:
         // Without a ledger entry a repeat could run twice: reject the request if that would do harm and its
         // client asked for protection by sending a key.
-        if (keyed && request.at_most_once)
+        if (keyed && request.once)
           return reject(AdmissionStatus::ledger_full, tenant.held_off, kRetryWhileOpen);
         break;
     }
--- a/src/admission/door.hpp
+++ b/src/admission/door.hpp
@@ -28,7 +28,7 @@
 
 // What the front knows of a request before it is admitted.
 struct AdmissionRequest {
-  bool at_most_once = false;    // requests of its class must never run twice
+  bool once = false;            // requests of its class must never run twice
   Tokens reserved_tokens = 0;   // of the prompt plus the answer's limit
   std::string idempotency_key;  // the Idempotency-Key header; empty: none
   std::uint64_t digest = 0;     // hash of path and body
--- a/src/admission/ledger.cpp
+++ b/src/admission/ledger.cpp
@@ -15,7 +15,7 @@
 }  // namespace
 
 Ledger::BeginResult Ledger::begin(Time now, const std::string& tenant, const std::string& key,
-                                  std::uint64_t digest, bool at_most_once, bool first_try) {
+                                  std::uint64_t digest, bool once, bool first_try) {
   expire(now);
   std::string name = lookup_key(tenant, key);
   if (const auto known = by_lookup_key_.find(name); known != by_lookup_key_.end()) {
@@ -37,7 +37,7 @@
   entry.tenant = tenant;
   entry.key = key;
   entry.digest = digest;
-  entry.at_most_once = at_most_once;
+  entry.once = once;
   entries_.emplace(number, std::move(entry));
   by_lookup_key_.emplace(std::move(name), number);
   return {BeginStatus::fresh, number, nullptr};
@@ -66,7 +66,7 @@
   }
   if (entry.open == 0) {
     // A repeatable request whose answer is not kept needs no protection: its repeat may run.
-    if (!entry.may_have_run || (entry.outcome_unknown && !entry.at_most_once)) return erase_entry(it);
+    if (!entry.may_have_run || (entry.outcome_unknown && !entry.once)) return erase_entry(it);
     entry.pending_attempts = 0;
     entry.ended = now_;
     entry.eviction_position = ended_list(entry).insert(ended_list(entry).end(), number);
@@ -74,7 +74,7 @@
   // Evict the oldest answers. At-most-once and running requests keep their entries, with an unknown outcome.
   while (answer_bytes_ > limits_.answer_bytes) {
     const auto oldest = entries_.find(with_answer_.front());
-    if (!oldest->second.at_most_once && oldest->second.open == 0) {
+    if (!oldest->second.once && oldest->second.open == 0) {
       erase_entry(oldest);
     } else {
       drop_answer(oldest->second);
@@ -87,7 +87,7 @@
   std::vector<Shown> found;
   for (const auto& [number, e] : entries_) {
     if (e.key != key) continue;
-    found.push_back({e.tenant, e.key, e.at_most_once, e.open, e.may_have_run || e.pending_attempts > 0,
+    found.push_back({e.tenant, e.key, e.once, e.open, e.may_have_run || e.pending_attempts > 0,
                      e.answer && !e.outcome_unknown ? e.answer->status : 0,
                      e.answer ? e.answer->body.size() : 0, e.open > 0 ? Duration{0} : now_ - e.ended});
   }
--- a/src/admission/ledger.hpp
+++ b/src/admission/ledger.hpp
@@ -62,12 +62,12 @@
   explicit Ledger(LedgerLimits limits) : limits_(limits) {}
 
   // Opens an entry for a request, or finds the one of an earlier request with the same key.
-  // `digest`: of path and body. `at_most_once`: requests of its class must not run twice, so the entry is
+  // `digest`: of path and body. `once`: requests of its class must not run twice, so the entry is
   // kept for its whole age. `first_try`: the request has no key of its own and does not claim to be a retry.
   // It runs, and shares one entry with identical requests, so that a repeat of any of them finds what may
   // have run.
   BeginResult begin(Time now, const std::string& tenant, const std::string& key, std::uint64_t digest,
-                    bool at_most_once, bool first_try = false);
+                    bool once, bool first_try = false);
   // True: an attempt that may execute the request is about to be sent. False: that attempt is proved not to
   // have executed it.
   void wrote(Number number, bool may_have_run = true);
@@ -85,7 +85,7 @@
   struct Entry {
     std::string tenant, key;
     std::uint64_t digest = 0;
-    bool at_most_once = false;
+    bool once = false;             // requests of its class must not run twice
     int open = 1;                  // requests under this entry that have not ended
     int pending_attempts = 0;      // attempts that may be executing one of them
     bool may_have_run = false;     // a request that has ended may have been executed
@@ -98,7 +98,7 @@
   using Entries = std::unordered_map<Number, Entry>;
 
   [[nodiscard]] std::list<Number>& ended_list(const Entry& entry) {
-    return entry.at_most_once ? ended_at_most_once_ : ended_repeatable_;
+    return entry.once ? ended_at_most_once_ : ended_repeatable_;
   }
   void expire(Time now);
   bool evict_repeatable();
--- a/src/net/openai/front.cpp
+++ b/src/net/openai/front.cpp
@@ -236,7 +236,7 @@
   }
   admission::AdmissionRequest request;
   const eiderarch::RequestArrived& facts = prepared.facts.arrived;
-  request.at_most_once = appliance_.module.classes[facts.request_class].effect == eiderarch::Effect::unsafe;
+  request.once = appliance_.module.classes[facts.request_class].effect == eiderarch::Effect::unsafe;
   request.reserved_tokens = facts.prompt_tokens + facts.max_output;
   request.digest = prepared.digest;
   request.session = facts.session;
--- a/tests/door_test.cpp
+++ b/tests/door_test.cpp
@@ -41,7 +41,7 @@
 
 AdmissionRequest at_most_once_request(const std::string& idempotency, std::uint64_t digest = 1) {
   AdmissionRequest request;
-  request.at_most_once = true;
+  request.once = true;
   request.reserved_tokens = 100;
   request.idempotency_key = idempotency;
   request.digest = digest;
