--- a/src/admission/door.cpp
+++ b/src/admission/door.cpp
@@ -25,18 +25,18 @@
 
 }  // namespace
 
-std::optional<Caller> Door::identify(std::string_view credentials) const {
+std::optional<Caller> AdmissionControl::identify(std::string_view credentials) const {
   if (!keys_) return Caller{};
   const Key* key = keys_->check(credentials);
   if (key == nullptr) return std::nullopt;
   return Caller{key};
 }
 
-bool Door::may_use(const Caller& caller, const std::string& model) {
+bool AdmissionControl::may_use(const Caller& caller, const std::string& model) {
   return caller.key == nullptr || KeyRing::may_use(*caller.key, model);
 }
 
-TenantUse& Door::usage_of(const std::string& tenant) {
+TenantUse& AdmissionControl::usage_of(const std::string& tenant) {
   if (usage_.size() >= limits_.max_tenants && !usage_.contains(tenant)) {
     std::erase_if(usage_, [](const auto& entry) { return entry.second.open == 0; });
   }
@@ -45,12 +45,12 @@
   return found;
 }
 
-bool Door::within_share(const TenantUse& tenant) const {
+bool AdmissionControl::within_share(const TenantUse& tenant) const {
   return may_take_slot(
       tenant.open, {limits_.max_open_requests, open_requests_, active_tenants_ + (tenant.open == 0 ? 1 : 0)});
 }
 
-AdmissionResult Door::admit(Time now, const Caller& caller, const AdmissionRequest& request) {
+AdmissionResult AdmissionControl::admit(Time now, const Caller& caller, const AdmissionRequest& request) {
   AdmissionResult result;
   Ticket& ticket = result.ticket;
   ticket.reserved = request.reserved_tokens;
@@ -125,11 +125,11 @@
   return result;
 }
 
-void Door::record_attempt(const Ticket& ticket, bool may_have_run) {
+void AdmissionControl::record_attempt(const Ticket& ticket, bool may_have_run) {
   if (ticket.ledger_entry != 0) ledger_.wrote(ticket.ledger_entry, may_have_run);
 }
 
-void Door::request_ended(Time now, const Ticket& ticket, RequestResult end) {
+void AdmissionControl::request_ended(Time now, const Ticket& ticket, RequestResult end) {
   TenantUse& tenant = usage_of(ticket.tenant);
   if (!ticket.key_id.empty()) {
     if (end.may_have_run) {
--- a/src/admission/door.hpp
+++ b/src/admission/door.hpp
@@ -15,7 +15,7 @@
 
 namespace bankmux::admission {
 
-struct DoorLimits {
+struct AdmissionLimits {
   LedgerLimits ledger;
   std::size_t max_tenants = 100'000;
   std::size_t max_open_requests = 0;  // size of the request table that tenants share; 0: not limited
@@ -86,9 +86,10 @@
 };
 
 // Decides for each request whether it is admitted, and keeps account of it until it ends.
-class Door {
+class AdmissionControl {
  public:
-  explicit Door(DoorLimits limits) : limits_(limits), limiter_(limits.max_tenants), ledger_(limits.ledger) {}
+  explicit AdmissionControl(AdmissionLimits limits)
+      : limits_(limits), limiter_(limits.max_tenants), ledger_(limits.ledger) {}
 
   // Replaces the API keys. Without any, all clients are accepted, as one tenant without limits.
   void keys(std::optional<KeyRing> ring) { keys_ = std::move(ring); }
@@ -116,7 +117,7 @@
   TenantUse& usage_of(const std::string& tenant);
   [[nodiscard]] bool within_share(const TenantUse& tenant) const;
 
-  DoorLimits limits_;
+  AdmissionLimits limits_;
   std::optional<KeyRing> keys_;
   Limiter limiter_;
   Ledger ledger_;
--- a/src/app/serve.cpp
+++ b/src/app/serve.cpp
@@ -104,12 +104,12 @@
   return limits;
 }
 
-void set_keys(admission::Door& door, const config::Appliance& appliance) {
+void set_keys(admission::AdmissionControl& admission_control, const config::Appliance& appliance) {
   if (!appliance.keys) {
-    door.keys(std::nullopt);
+    admission_control.keys(std::nullopt);
     return log::write("keys", "no API key file configured: every client of the chat API has full access");
   }
-  door.keys(admission::KeyRing(*appliance.keys));
+  admission_control.keys(admission::KeyRing(*appliance.keys));
   log::write("keys", std::to_string(appliance.keys->size()) + " keys loaded from " + appliance.keys_file);
 }
 
@@ -206,8 +206,8 @@
   const ResourceLimits resource_limits(appliance.sockets, appliance.memory_mb);
   net::Loop loop;
   // Declared before the conductor, because requests report to it until they are destroyed.
-  admission::Door door({appliance.ledger, kMaxTenants, resource_limits.requests});
-  set_keys(door, appliance);
+  admission::AdmissionControl admission_control({appliance.ledger, kMaxTenants, resource_limits.requests});
+  set_keys(admission_control, appliance);
   std::optional<core::Conductor> conductor;
   net::InstanceClient instances(
       loop, pool_limits(appliance.connect_timeout, appliance.idle_timeout, resource_limits),
@@ -216,8 +216,8 @@
                                [&](const core::FleetUpdate& news) { conductor->update_fleet(news); });
   conductor.emplace(core_settings(appliance.module, resource_limits), loop, instances, monitor, log_line);
   conductor->observe(request_log(appliance.classes));
-  net::OperatorPage page(*conductor, loop, monitor, door, appliance);
-  net::OpenAiFront front(*conductor, loop, door, appliance,
+  net::OperatorPage page(*conductor, loop, monitor, admission_control, appliance);
+  net::OpenAiFront front(*conductor, loop, admission_control, appliance,
                          [&] { return page.standing().state == net::Standing::State::up; });
   net::HttpServer server(
       loop, appliance.listen,
@@ -240,7 +240,7 @@
     reload_or_keep([&] {
       const bool complete = appliance.apply_reload(reread());
       monitor.reload(appliance);
-      set_keys(door, appliance);
+      set_keys(admission_control, appliance);
       return std::pair(std::to_string(appliance.boxes.size()) + " boxes, " +
                            std::to_string(appliance.models.size()) + " models",
                        complete);
--- a/src/net/appliance/operator_page.cpp
+++ b/src/net/appliance/operator_page.cpp
@@ -56,12 +56,12 @@
 }  // namespace
 
 OperatorPage::OperatorPage(const core::Conductor& conductor, const core::Scheduler& scheduler,
-                           InstanceMonitor& monitor, const admission::Door& door,
+                           InstanceMonitor& monitor, const admission::AdmissionControl& admission_control,
                            const config::Appliance& appliance)
     : conductor_(conductor),
       scheduler_(scheduler),
       monitor_(monitor),
-      door_(door),
+      admission_control_(admission_control),
       appliance_(appliance),
       started_(scheduler.now()) {}
 
@@ -107,15 +107,16 @@
                               {"out", conductor_.active_attempts_at(engine)}});
     }
   }
-  out["door"] = {{"keys", door_.keys() ? json(door_.keys()->keys().size()) : json(nullptr)},
-                 {"unknown_keys", door_.unknown_keys()},
-                 {"ledger",
-                  {{"entries", door_.ledger().entries()},
-                   {"most", door_.ledger().limits().entries},
-                   {"answer_bytes", door_.ledger().answer_bytes()}}},
-                 {"tenants", json::array()}};
+  out["door"] = {
+      {"keys", admission_control_.keys() ? json(admission_control_.keys()->keys().size()) : json(nullptr)},
+      {"unknown_keys", admission_control_.unknown_keys()},
+      {"ledger",
+       {{"entries", admission_control_.ledger().entries()},
+        {"most", admission_control_.ledger().limits().entries},
+        {"answer_bytes", admission_control_.ledger().answer_bytes()}}},
+      {"tenants", json::array()}};
   std::vector<const admission::TenantUse*> busiest;
-  for (const auto& [name, usage] : door_.tenants()) busiest.push_back(&usage);
+  for (const auto& [name, usage] : admission_control_.tenants()) busiest.push_back(&usage);
   const std::size_t shown = std::min(busiest.size(), kMaxTenantsOnStatusPage);
   std::ranges::partial_sort(busiest, busiest.begin() + std::ptrdiff_t(shown),
                             [](const auto* a, const auto* b) {
@@ -128,10 +129,10 @@
 // Each tenant with its usage and its keys, and for each key the limits and what remains of them.
 std::string OperatorPage::tenants() const {
   std::map<std::string, json> all;
-  for (const auto& [name, usage] : door_.tenants()) all[name] = tenant_json(usage);
-  if (door_.keys()) {
-    for (const auto& [id, key] : door_.keys()->keys()) {
-      const auto standing = door_.limiter().standing(scheduler_.now(), id, key.limits);
+  for (const auto& [name, usage] : admission_control_.tenants()) all[name] = tenant_json(usage);
+  if (admission_control_.keys()) {
+    for (const auto& [id, key] : admission_control_.keys()->keys()) {
+      const auto standing = admission_control_.limiter().standing(scheduler_.now(), id, key.limits);
       const auto [it, inserted] = all.try_emplace(key.tenant);
       if (inserted) it->second = tenant_json({key.tenant});
       const auto limit = [](std::int64_t most, std::int64_t left) {
@@ -142,17 +143,17 @@
            {"models", key.models},
            {"requests_per_minute", limit(key.limits.requests_per_minute, standing.left_requests)},
            {"tokens_per_minute", limit(key.limits.tokens_per_minute, standing.left_tokens)},
-           {"open", limit(key.limits.open, key.limits.open - door_.limiter().open(id))}});
+           {"open", limit(key.limits.open, key.limits.open - admission_control_.limiter().open(id))}});
     }
   }
-  json out = {{"keyed", door_.keys().has_value()}, {"tenants", json::array()}};
+  json out = {{"keyed", admission_control_.keys().has_value()}, {"tenants", json::array()}};
   for (auto& [name, tenant] : all) out["tenants"].push_back(std::move(tenant));
   return out.dump(-1, ' ', false, json::error_handler_t::replace);
 }
 
 std::string OperatorPage::ledger(const std::string& key) const {
   json out = {{"key", key}, {"entries", json::array()}};
-  for (const admission::Ledger::Shown& entry : door_.ledger().find(key)) {
+  for (const admission::Ledger::Shown& entry : admission_control_.ledger().find(key)) {
     const bool known = entry.status != 0;
     const char* state = entry.open > 0 ? "running" : known ? "answered" : "outcome_unknown";
     out["entries"].push_back({{"tenant", entry.tenant},
--- a/src/net/appliance/operator_page.hpp
+++ b/src/net/appliance/operator_page.hpp
@@ -21,7 +21,7 @@
 class OperatorPage {
  public:
   OperatorPage(const core::Conductor& conductor, const core::Scheduler& scheduler, InstanceMonitor& monitor,
-               const admission::Door& door, const config::Appliance& appliance);
+               const admission::AdmissionControl& admission_control, const config::Appliance& appliance);
 
   // Callbacks for processes that coordinate through a store: `drain` applies a drain or resume in all of them
   // and then calls `done` with whether it was written; `duties` returns the content of /-/duties.
@@ -48,7 +48,7 @@
   const core::Conductor& conductor_;
   const core::Scheduler& scheduler_;
   InstanceMonitor& monitor_;
-  const admission::Door& door_;
+  const admission::AdmissionControl& admission_control_;
   const config::Appliance& appliance_;
   core::Time started_;
   std::optional<SharedOperations> shared_operations_;
--- a/src/net/openai/admitted.cpp
+++ b/src/net/openai/admitted.cpp
@@ -78,9 +78,9 @@
   return found;
 }
 
-RequestAccount::RequestAccount(admission::Door& door, core::Scheduler& scheduler, admission::Ticket ticket,
-                               core::Tokens max_tokens, bool streamed)
-    : door_(door),
+RequestAccount::RequestAccount(admission::AdmissionControl& admission_control, core::Scheduler& scheduler,
+                               admission::Ticket ticket, core::Tokens max_tokens, bool streamed)
+    : admission_control_(admission_control),
       scheduler_(scheduler),
       ticket_(std::move(ticket)),
       max_tokens_(max_tokens),
@@ -92,12 +92,12 @@
   // If on_not_executed() was not called for the last attempt, that one may have run.
   earlier_attempt_may_have_run_ |= last_attempt_may_have_run_;
   last_attempt_may_have_run_ = true;
-  door_.record_attempt(ticket_);
+  admission_control_.record_attempt(ticket_);
 }
 
 void RequestAccount::on_not_executed() {
   last_attempt_may_have_run_ = false;
-  door_.record_attempt(ticket_, false);
+  admission_control_.record_attempt(ticket_, false);
 }
 
 void RequestAccount::record_events(std::string_view bytes) {
@@ -111,7 +111,7 @@
 }
 
 bool RequestAccount::fits_ledger(std::size_t bytes) const {
-  return ticket_.ledger_entry != 0 && bytes <= door_.ledger().limits().one_answer;
+  return ticket_.ledger_entry != 0 && bytes <= admission_control_.ledger().limits().one_answer;
 }
 
 void RequestAccount::record_sent(std::string_view bytes) {
@@ -138,9 +138,9 @@
 
 void RequestAccount::settle(std::optional<admission::Recorded> answer) {
   if (std::exchange(settled_, true)) return;
-  door_.request_ended(scheduler_.now(), ticket_,
-                      {last_attempt_may_have_run_ || earlier_attempt_may_have_run_, used_tokens_, max_tokens_,
-                       std::move(answer)});
+  admission_control_.request_ended(scheduler_.now(), ticket_,
+                                   {last_attempt_may_have_run_ || earlier_attempt_may_have_run_, used_tokens_,
+                                    max_tokens_, std::move(answer)});
 }
 
 }  // namespace bankmux::net::openai
--- a/src/net/openai/admitted.hpp
+++ b/src/net/openai/admitted.hpp
@@ -19,8 +19,8 @@
 class RequestAccount {
  public:
   // `max_tokens`: upper bound on the tokens that the request can use.
-  RequestAccount(admission::Door& door, core::Scheduler& scheduler, admission::Ticket ticket,
-                 core::Tokens max_tokens, bool streamed);
+  RequestAccount(admission::AdmissionControl& admission_control, core::Scheduler& scheduler,
+                 admission::Ticket ticket, core::Tokens max_tokens, bool streamed);
   ~RequestAccount();
   RequestAccount(const RequestAccount&) = delete;
   RequestAccount& operator=(const RequestAccount&) = delete;
@@ -46,7 +46,7 @@
   [[nodiscard]] bool fits_ledger(std::size_t bytes) const;
   void settle(std::optional<admission::Recorded> answer);
 
-  admission::Door& door_;
+  admission::AdmissionControl& admission_control_;
   core::Scheduler& scheduler_;
   admission::Ticket ticket_;
   core::Tokens max_tokens_;
--- a/src/net/openai/front.cpp
+++ b/src/net/openai/front.cpp
@@ -75,11 +75,12 @@
   std::unique_ptr<openai::AnswerFormatter> formatter;
 };
 
-OpenAiFront::OpenAiFront(core::Conductor& conductor, core::Scheduler& scheduler, admission::Door& door,
-                         const config::Appliance& appliance, std::function<bool()> healthy)
+OpenAiFront::OpenAiFront(core::Conductor& conductor, core::Scheduler& scheduler,
+                         admission::AdmissionControl& admission_control, const config::Appliance& appliance,
+                         std::function<bool()> healthy)
     : conductor_(conductor),
       scheduler_(scheduler),
-      door_(door),
+      admission_control_(admission_control),
       appliance_(appliance),
       healthy_(std::move(healthy)) {
   char text[32];
@@ -104,7 +105,7 @@
       return false;
     // Without a valid key the request is rejected by its headers alone, so no memory is reserved for its
     // body.
-    return door_.identify(bearer(head.header("Authorization"))).has_value();
+    return admission_control_.identify(bearer(head.header("Authorization"))).has_value();
   };
   return hooks;
 }
@@ -167,7 +168,7 @@
 void OpenAiFront::models(IncomingRequest& incoming, const Headers& common, const std::string& path,
                          const admission::Caller& caller) const {
   const auto may_use = [&](const config::Model& model) {
-    return admission::Door::may_use(caller, model.name);
+    return admission::AdmissionControl::may_use(caller, model.name);
   };
   if (path == kModels) {
     json list = {{"object", "list"}, {"data", json::array()}};
@@ -215,9 +216,9 @@
 
 std::optional<admission::Caller> OpenAiFront::identify(IncomingRequest& incoming, const Headers& common) {
   const std::string credentials = incoming.header("Authorization");
-  const auto caller = door_.identify(bearer(credentials));
+  const auto caller = admission_control_.identify(bearer(credentials));
   if (caller) return caller;
-  door_.count_unknown_key();
+  admission_control_.count_unknown_key();
   const bool none = credentials.empty();
   reject(incoming, common,
          {none ? "No API key was given: Authorization: Bearer KEY" : "The API key is not known here.", "",
@@ -229,7 +230,7 @@
 std::optional<admission::Ticket> OpenAiFront::admit(IncomingRequest& incoming, Headers& common,
                                                     const PreparedRequest& prepared,
                                                     const admission::Caller& caller) {
-  if (!admission::Door::may_use(caller, prepared.model)) {
+  if (!admission::AdmissionControl::may_use(caller, prepared.model)) {
     reject(incoming, common,
            {"names a model that this key may not use: " + prepared.model, "model", 403, "model_not_allowed"});
     return std::nullopt;
@@ -248,7 +249,7 @@
   }
   const std::string retries = incoming.header("x-stainless-retry-count");
   std::from_chars(retries.data(), retries.data() + retries.size(), request.retry_count);
-  const admission::AdmissionResult result = door_.admit(scheduler_.now(), caller, request);
+  const admission::AdmissionResult result = admission_control_.admit(scheduler_.now(), caller, request);
   if (caller.key != nullptr) openai::add_limit_headers(common, result.ticket.limits, result.limit_status);
   if (result.status == admission::AdmissionStatus::admitted) return result.ticket;
   if (result.status == admission::AdmissionStatus::replay && result.answer != nullptr) {
@@ -385,7 +386,7 @@
                                                 ? recovery::AnswerFormat::completion
                                                 : recovery::AnswerFormat::chat);
   }
-  auto account = std::make_unique<openai::RequestAccount>(door_, scheduler_, std::move(*ticket),
+  auto account = std::make_unique<openai::RequestAccount>(admission_control_, scheduler_, std::move(*ticket),
                                                           prepared.max_tokens, prepared.facts.streamed);
   openai::ReplyOptions reply_options{
       std::move(common),  prepared.facts.streamed,     std::move(prepared.formatter),
--- a/src/net/openai/front.hpp
+++ b/src/net/openai/front.hpp
@@ -18,8 +18,9 @@
  public:
   // `healthy`: whether a load balancer in front may send requests here. The contents of `appliance` may
   // change during the lifetime of this object.
-  OpenAiFront(core::Conductor& conductor, core::Scheduler& scheduler, admission::Door& door,
-              const config::Appliance& appliance, std::function<bool()> healthy);
+  OpenAiFront(core::Conductor& conductor, core::Scheduler& scheduler,
+              admission::AdmissionControl& admission_control, const config::Appliance& appliance,
+              std::function<bool()> healthy);
 
   void handle(std::unique_ptr<IncomingRequest> incoming);
   // For the HTTP server that calls handle().
@@ -53,7 +54,7 @@
 
   core::Conductor& conductor_;
   core::Scheduler& scheduler_;
-  admission::Door& door_;
+  admission::AdmissionControl& admission_control_;
   const config::Appliance& appliance_;
   std::function<bool()> healthy_;
   std::string id_prefix_;  // request ids are this prefix and a counter
--- a/tests/door_test.cpp
+++ b/tests/door_test.cpp
@@ -33,10 +33,10 @@
 
 const std::string kFirstId = "00000000000a", kSecondId = "00000000000b";
 
-Door make_door(std::vector<Key> keys, DoorLimits limits = {}) {
-  Door door(limits);
-  door.keys(KeyRing(std::move(keys)));
-  return door;
+AdmissionControl make_door(std::vector<Key> keys, AdmissionLimits limits = {}) {
+  AdmissionControl control(limits);
+  control.keys(KeyRing(std::move(keys)));
+  return control;
 }
 
 AdmissionRequest at_most_once_request(const std::string& idempotency, std::uint64_t digest = 1) {
@@ -124,100 +124,101 @@
 }
 
 TEST_CASE("Admission control: a rate-limited key gets a wait, and a rejected request costs nothing") {
-  Door door = make_door({make_key(kFirstId, "norte", {2, 1000, 0}), make_key(kSecondId, "sur")});
-  const Caller norte = *door.identify(join_key(kFirstId, kSecret)),
-               sur = *door.identify(join_key(kSecondId, kSecret));
+  AdmissionControl control =
+      make_door({make_key(kFirstId, "norte", {2, 1000, 0}), make_key(kSecondId, "sur")});
+  const Caller norte = *control.identify(join_key(kFirstId, kSecret)),
+               sur = *control.identify(join_key(kSecondId, kSecret));
   AdmissionRequest request;
   request.reserved_tokens = 600;
-  const AdmissionResult first = door.admit(1s, norte, request);
+  const AdmissionResult first = control.admit(1s, norte, request);
   CHECK(first.status == AdmissionStatus::admitted);
-  const AdmissionResult tokens = door.admit(1s, norte, request);
+  const AdmissionResult tokens = control.admit(1s, norte, request);
   CHECK(tokens.status == AdmissionStatus::limited);
   CHECK(tokens.limited == Limited::tokens);
   CHECK(tokens.wait > 0s);
   CHECK(tokens.limit_status.left_tokens == 400);
   request.reserved_tokens = 10;
-  CHECK(door.admit(1s, norte, request).status == AdmissionStatus::admitted);
-  const AdmissionResult requests = door.admit(1s, norte, request);
+  CHECK(control.admit(1s, norte, request).status == AdmissionStatus::admitted);
+  const AdmissionResult requests = control.admit(1s, norte, request);
   CHECK(requests.limited == Limited::requests);
-  CHECK(door.admit(1s, sur, request).status == AdmissionStatus::admitted);
+  CHECK(control.admit(1s, sur, request).status == AdmissionStatus::admitted);
   // The first request never ran, so its request and its tokens are refunded.
-  door.request_ended(1s, first.ticket, {});
-  CHECK(door.admit(1s, norte, request).status == AdmissionStatus::admitted);
-  CHECK(door.tenants().at("norte").limited == 2);
+  control.request_ended(1s, first.ticket, {});
+  CHECK(control.admit(1s, norte, request).status == AdmissionStatus::admitted);
+  CHECK(control.tenants().at("norte").limited == 2);
 }
 
 TEST_CASE("Admission control: a flooding tenant is held to its share, and a new tenant is admitted") {
-  DoorLimits limits;
+  AdmissionLimits limits;
   limits.max_open_requests = 20;
-  Door door = make_door({make_key(kFirstId, "norte"), make_key(kSecondId, "sur")}, limits);
-  const Caller norte = *door.identify(join_key(kFirstId, kSecret)),
-               sur = *door.identify(join_key(kSecondId, kSecret));
+  AdmissionControl control = make_door({make_key(kFirstId, "norte"), make_key(kSecondId, "sur")}, limits);
+  const Caller norte = *control.identify(join_key(kFirstId, kSecret)),
+               sur = *control.identify(join_key(kSecondId, kSecret));
   int admitted = 0;
-  for (int i = 0; i < 100; ++i) admitted += door.admit(1s, norte, {}).status == AdmissionStatus::admitted;
+  for (int i = 0; i < 100; ++i) admitted += control.admit(1s, norte, {}).status == AdmissionStatus::admitted;
   CHECK(admitted == 15);
-  CHECK(door.admit(1s, norte, {}).status == AdmissionStatus::over_share);
+  CHECK(control.admit(1s, norte, {}).status == AdmissionStatus::over_share);
   // The new tenant is below its share and is admitted; the flooding tenant still is not.
-  for (int i = 0; i < 4; ++i) CHECK(door.admit(1s, sur, {}).status == AdmissionStatus::admitted);
-  CHECK(door.admit(1s, norte, {}).status == AdmissionStatus::over_share);
+  for (int i = 0; i < 4; ++i) CHECK(control.admit(1s, sur, {}).status == AdmissionStatus::admitted);
+  CHECK(control.admit(1s, norte, {}).status == AdmissionStatus::over_share);
 }
 
 TEST_CASE(
     "Admission control: a repeat is deferred, replayed or reported as outcome unknown, and never runs") {
-  Door door = make_door({make_key(kFirstId, "norte", {0, 0, 1}), make_key(kSecondId, "sur")});
-  const Caller norte = *door.identify(join_key(kFirstId, kSecret)),
-               sur = *door.identify(join_key(kSecondId, kSecret));
-  const AdmissionResult first = door.admit(1s, norte, at_most_once_request("k"));
+  AdmissionControl control = make_door({make_key(kFirstId, "norte", {0, 0, 1}), make_key(kSecondId, "sur")});
+  const Caller norte = *control.identify(join_key(kFirstId, kSecret)),
+               sur = *control.identify(join_key(kSecondId, kSecret));
+  const AdmissionResult first = control.admit(1s, norte, at_most_once_request("k"));
   REQUIRE(first.status == AdmissionStatus::admitted);
-  door.record_attempt(first.ticket);
+  control.record_attempt(first.ticket);
   for (int i = 0; i < 50; ++i)
-    CHECK(door.admit(1s, norte, at_most_once_request("k")).status == AdmissionStatus::in_progress);
-  CHECK(door.admit(1s, norte, at_most_once_request("k", 2)).status == AdmissionStatus::key_reused);
+    CHECK(control.admit(1s, norte, at_most_once_request("k")).status == AdmissionStatus::in_progress);
+  CHECK(control.admit(1s, norte, at_most_once_request("k", 2)).status == AdmissionStatus::key_reused);
   // Keys of different tenants are distinct.
-  CHECK(door.admit(1s, sur, at_most_once_request("k", 2)).status == AdmissionStatus::admitted);
-  door.request_ended(2s, first.ticket, {true, 80, 200, Recorded{200, "application/json", "{}", false}});
-  const AdmissionResult again = door.admit(3s, norte, at_most_once_request("k"));
+  CHECK(control.admit(1s, sur, at_most_once_request("k", 2)).status == AdmissionStatus::admitted);
+  control.request_ended(2s, first.ticket, {true, 80, 200, Recorded{200, "application/json", "{}", false}});
+  const AdmissionResult again = control.admit(3s, norte, at_most_once_request("k"));
   CHECK(again.status == AdmissionStatus::replay);
   REQUIRE(again.answer != nullptr);
-  const AdmissionResult left = door.admit(4s, norte, at_most_once_request("left mid-stream"));
-  door.record_attempt(left.ticket);
-  door.request_ended(4s, left.ticket, {true, std::nullopt, 200, std::nullopt});
-  const AdmissionResult unknown = door.admit(5s, norte, at_most_once_request("left mid-stream"));
+  const AdmissionResult left = control.admit(4s, norte, at_most_once_request("left mid-stream"));
+  control.record_attempt(left.ticket);
+  control.request_ended(4s, left.ticket, {true, std::nullopt, 200, std::nullopt});
+  const AdmissionResult unknown = control.admit(5s, norte, at_most_once_request("left mid-stream"));
   CHECK(unknown.status == AdmissionStatus::replay);
   CHECK(unknown.answer == nullptr);
 }
 
 TEST_CASE("Admission control: a first try without a key always runs, and its marked retry never does") {
-  Door door({});
+  AdmissionControl control({});
   AdmissionRequest request = at_most_once_request("");
   request.session = 7;
-  const AdmissionResult one = door.admit(1s, {}, request), two = door.admit(1s, {}, request);
+  const AdmissionResult one = control.admit(1s, {}, request), two = control.admit(1s, {}, request);
   CHECK(one.status == AdmissionStatus::admitted);
   CHECK(two.status == AdmissionStatus::admitted);
-  door.request_ended(1s, one.ticket, {true, std::nullopt, 0, std::nullopt});
+  control.request_ended(1s, one.ticket, {true, std::nullopt, 0, std::nullopt});
   request.retry_count = 1;
-  CHECK(door.admit(2s, {}, request).status == AdmissionStatus::in_progress);
-  door.request_ended(3s, two.ticket, {});
-  CHECK(door.admit(4s, {}, request).status == AdmissionStatus::replay);
+  CHECK(control.admit(2s, {}, request).status == AdmissionStatus::in_progress);
+  control.request_ended(3s, two.ticket, {});
+  CHECK(control.admit(4s, {}, request).status == AdmissionStatus::replay);
   request.digest = 2;  // a different body has no ledger entry
-  CHECK(door.admit(4s, {}, request).status == AdmissionStatus::admitted);
+  CHECK(control.admit(4s, {}, request).status == AdmissionStatus::admitted);
 }
 
 TEST_CASE("Admission control: a full ledger rejects an at-most-once request that has a key") {
-  DoorLimits limits;
+  AdmissionLimits limits;
   limits.ledger.entries = 1;
-  Door door(limits);
-  CHECK(door.admit(1s, {}, at_most_once_request("a")).status == AdmissionStatus::admitted);
-  CHECK(door.admit(1s, {}, at_most_once_request("b")).status == AdmissionStatus::ledger_full);
+  AdmissionControl control(limits);
+  CHECK(control.admit(1s, {}, at_most_once_request("a")).status == AdmissionStatus::admitted);
+  CHECK(control.admit(1s, {}, at_most_once_request("b")).status == AdmissionStatus::ledger_full);
   AdmissionRequest safe;
   safe.idempotency_key = "c";
-  CHECK(door.admit(1s, {}, safe).status == AdmissionStatus::admitted);
-  CHECK(door.ledger().entries() == 1);
+  CHECK(control.admit(1s, {}, safe).status == AdmissionStatus::admitted);
+  CHECK(control.ledger().entries() == 1);
 }
 
 TEST_CASE("Admission control: a missing, absurd or excessive usage figure is settled within bounds") {
-  Door door = make_door({make_key(kFirstId, "norte", {0, 1000, 0})});
-  const Caller norte = *door.identify(join_key(kFirstId, kSecret));
+  AdmissionControl control = make_door({make_key(kFirstId, "norte", {0, 1000, 0})});
+  const Caller norte = *control.identify(join_key(kFirstId, kSecret));
   struct Case {
     std::optional<Tokens> used;
     std::int64_t left;
@@ -226,10 +227,10 @@
   for (const Case& c :
        {Case{std::nullopt, 900}, Case{-5, 1000}, Case{1'000'000'000'000'000'000, 500}, Case{300, 700}}) {
     now += 10min;
-    const AdmissionResult result = door.admit(now, norte, at_most_once_request(""));
+    const AdmissionResult result = control.admit(now, norte, at_most_once_request(""));
     REQUIRE(result.status == AdmissionStatus::admitted);
-    door.request_ended(now, result.ticket, {true, c.used, 500, std::nullopt});
-    CHECK(door.limiter().standing(now, kFirstId, norte.key->limits).left_tokens == c.left);
+    control.request_ended(now, result.ticket, {true, c.used, 500, std::nullopt});
+    CHECK(control.limiter().standing(now, kFirstId, norte.key->limits).left_tokens == c.left);
   }
   using net::openai::find_usage;
   CHECK(find_usage(R"({"usage":{"prompt_tokens":10,"completion_tokens":5}})") == 15);
@@ -247,31 +248,32 @@
 }
 
 TEST_CASE("Admission control: limits that change while a request runs refund what was charged and no more") {
-  Door door = make_door({make_key(kFirstId, "norte", {0, 1000, 0})});
+  AdmissionControl control = make_door({make_key(kFirstId, "norte", {0, 1000, 0})});
   const AdmissionResult result =
-      door.admit(1s, *door.identify(join_key(kFirstId, kSecret)), at_most_once_request(""));
+      control.admit(1s, *control.identify(join_key(kFirstId, kSecret)), at_most_once_request(""));
   const Limits later{0, 2000, 0};
-  door.keys(KeyRing({make_key(kFirstId, "norte", later)}));
-  door.request_ended(1s, result.ticket, {});
-  CHECK(door.limiter().standing(1s, kFirstId, later).left_tokens == 2000);
+  control.keys(KeyRing({make_key(kFirstId, "norte", later)}));
+  control.request_ended(1s, result.ticket, {});
+  CHECK(control.limiter().standing(1s, kFirstId, later).left_tokens == 2000);
   // A request whose key has been revoked meanwhile ends normally.
   const AdmissionResult gone =
-      door.admit(1s, *door.identify(join_key(kFirstId, kSecret)), at_most_once_request("k"));
-  door.record_attempt(gone.ticket);
-  door.keys(KeyRing({make_key(kSecondId, "sur")}));
-  CHECK_FALSE(door.identify(join_key(kFirstId, kSecret)).has_value());
-  door.request_ended(2s, gone.ticket, {true, 10, 100, Recorded{200, "", "x", false}});
-  CHECK(door.limiter().open(kFirstId) == 0);
+      control.admit(1s, *control.identify(join_key(kFirstId, kSecret)), at_most_once_request("k"));
+  control.record_attempt(gone.ticket);
+  control.keys(KeyRing({make_key(kSecondId, "sur")}));
+  CHECK_FALSE(control.identify(join_key(kFirstId, kSecret)).has_value());
+  control.request_ended(2s, gone.ticket, {true, 10, 100, Recorded{200, "", "x", false}});
+  CHECK(control.limiter().open(kFirstId) == 0);
 }
 
 TEST_CASE(
     "Admission control: random operations against a model: one run per key, nothing reserved at the end") {
   CHECK(rc::check([] {
-    DoorLimits limits;
+    AdmissionLimits limits;
     limits.ledger = {6, 100, 50, 1000s};
     limits.max_open_requests = 8;
     const Limits each{1000, 50'000, 6};
-    Door door = make_door({make_key(kFirstId, "norte", each), make_key(kSecondId, "sur", each)}, limits);
+    AdmissionControl control =
+        make_door({make_key(kFirstId, "norte", each), make_key(kSecondId, "sur", each)}, limits);
     struct Open {
       Ticket ticket;
       std::string key;
@@ -287,7 +289,7 @@
         const std::string& id = *rc::gen::arbitrary<bool>() ? kFirstId : kSecondId;
         const std::string name(1, char('a' + *rc::gen::inRange(0, 6)));
         const AdmissionResult result =
-            door.admit(now, *door.identify(join_key(id, kSecret)), at_most_once_request(name));
+            control.admit(now, *control.identify(join_key(id, kSecret)), at_most_once_request(name));
         const std::string whole = id + name;
         if (result.status == AdmissionStatus::admitted) {
           RC_ASSERT(!may_have_run[whole]);
@@ -301,27 +303,27 @@
         Open& one = open[at];
         if (what == 2) {
           one.sent = !one.sent;  // sent, or rejected by its instance
-          door.record_attempt(one.ticket, one.sent);
+          control.record_attempt(one.ticket, one.sent);
         } else {
           std::optional<Recorded> answer;
           if (one.sent && *rc::gen::arbitrary<bool>())
             answer = Recorded{200, "", std::string(40, 'x'), false};
           may_have_run[one.key] = one.sent;
-          door.request_ended(now, one.ticket,
-                             {one.sent, *rc::gen::inRange<Tokens>(-10, 10'000), 150, answer});
+          control.request_ended(now, one.ticket,
+                                {one.sent, *rc::gen::inRange<Tokens>(-10, 10'000), 150, answer});
           open.erase(open.begin() + std::ptrdiff_t(at));
         }
       }
       RC_ASSERT(open.size() <= limits.max_open_requests);
-      RC_ASSERT(door.ledger().entries() <= limits.ledger.entries);
+      RC_ASSERT(control.ledger().entries() <= limits.ledger.entries);
     }
-    for (const Open& one : open) door.request_ended(now, one.ticket, {});
+    for (const Open& one : open) control.request_ended(now, one.ticket, {});
     now += 10min;
     for (const std::string& id : {kFirstId, kSecondId}) {
-      RC_ASSERT(door.limiter().open(id) == 0);
-      RC_ASSERT(door.limiter().standing(now, id, each).left_tokens == each.tokens_per_minute);
+      RC_ASSERT(control.limiter().open(id) == 0);
+      RC_ASSERT(control.limiter().standing(now, id, each).left_tokens == each.tokens_per_minute);
     }
-    for (const auto& [name, use] : door.tenants()) RC_ASSERT(use.open == 0U);
+    for (const auto& [name, use] : control.tenants()) RC_ASSERT(use.open == 0U);
   }));
 }
 
