--- a/src/config/appliance.cpp
+++ b/src/config/appliance.cpp
@@ -179,9 +179,9 @@
     model.native_responses = responses == "native";
     const std::string continuation = row.text("continuation", "none");
     if (continuation == "final_message") {
-      model.continuation = recovery::Way::final_message;
+      model.continuation = recovery::ContinuationMode::final_message;
     } else if (continuation == "prompt") {
-      model.continuation = recovery::Way::prompt;
+      model.continuation = recovery::ContinuationMode::prompt;
     } else if (continuation != "none") {
       row.fail("continuation", "must be 'none', 'final_message' or 'prompt'");
     }
--- a/src/config/appliance.hpp
+++ b/src/config/appliance.hpp
@@ -17,8 +17,9 @@
 struct Model {
   std::string name;
   std::uint32_t request_class = 0;
-  bool native_responses = false;                     // its instances implement /v1/responses themselves
-  recovery::Way continuation = recovery::Way::none;  // how its instances continue a partial answer
+  bool native_responses = false;  // its instances implement /v1/responses themselves
+  // How its instances continue a partial answer.
+  recovery::ContinuationMode continuation = recovery::ContinuationMode::none;
 };
 
 // A model-server instance, as the file lists it.
--- a/src/net/openai/front.cpp
+++ b/src/net/openai/front.cpp
@@ -68,7 +68,7 @@
   openai::RequestFacts facts;
   std::string model;
   std::uint64_t digest = 0;  // hash of path and body as the client sent them
-  recovery::Way continuation = recovery::Way::none;
+  recovery::ContinuationMode continuation = recovery::ContinuationMode::none;
   core::Tokens max_tokens = 0;  // upper bound on prompt and answer together
   std::string body;
   std::string target;
@@ -330,7 +330,7 @@
     if (openai::model_of(body, appliance_).native_responses) {
       prepared.body = std::move(expanded.body);
       prepared.formatter = openai::passthrough_formatter();
-      prepared.continuation = recovery::Way::none;  // recovery does not support its event format
+      prepared.continuation = recovery::ContinuationMode::none;  // recovery does not support its event format
       return prepared;
     }
     prepared.target = kChat;
@@ -381,7 +381,7 @@
   std::optional<recovery::StreamRecovery> recovery;
   const core::PayloadPtr original_request = ask.payload;
   // Only streams in the formats of /v1/chat/completions and /v1/completions can be recovered.
-  if (prepared.facts.streamed && prepared.continuation != recovery::Way::none) {
+  if (prepared.facts.streamed && prepared.continuation != recovery::ContinuationMode::none) {
     recovery.emplace(prepared.continuation, original_request->target.starts_with(kCompletions)
                                                 ? recovery::AnswerFormat::completion
                                                 : recovery::AnswerFormat::chat);
--- a/src/recovery/recovery.cpp
+++ b/src/recovery/recovery.cpp
@@ -108,7 +108,7 @@
 }
 
 std::string StreamRecovery::retain(std::string out) {
-  if (way_ == Way::none || too_long_) return out;
+  if (mode_ == ContinuationMode::none || too_long_) return out;
   too_long_ = retained_.size() + out.size() > kMaxRetainedBytes;
   if (too_long_) {
     std::string().swap(retained_);
@@ -119,7 +119,7 @@
 }
 
 std::string StreamRecovery::forward(std::string_view events) {
-  if (way_ == Way::none) return std::string(events);
+  if (mode_ == ContinuationMode::none) return std::string(events);
   if (!splicer_ && events.find("error") == std::string_view::npos) return retain(std::string(events));
   std::string out;
   sse::EventSplitter splitter(kNoEventLimit);
@@ -216,7 +216,7 @@
     next.reason = reason;
     return next;
   };
-  if (way_ == Way::none) return give_up("its model does not say how its boxes go on");
+  if (mode_ == ContinuationMode::none) return give_up("its model does not say how its boxes go on");
   if (too_long_) return give_up("more was written than is kept");
   if (failed()) return give_up(reason());
   // Text withheld by the splicer was never sent, so the next instance has to generate it again.
@@ -228,7 +228,7 @@
     next.bytes = retain("data: [DONE]\n\n");
     return next;
   }
-  if (format_ == AnswerFormat::chat && way_ == Way::prompt)
+  if (format_ == AnswerFormat::chat && mode_ == ContinuationMode::prompt)
     return give_up("its model's boxes go on with completions alone");
   if (const char* why = unsupported_reason(request, written_)) return give_up(why);
   json continued_request = request;
--- a/src/recovery/recovery.hpp
+++ b/src/recovery/recovery.hpp
@@ -16,7 +16,7 @@
 
 // How the instances of a model continue a partial answer: not at all, from a final assistant message, or from
 // a prompt that ends with the partial answer.
-enum class Way { none, final_message, prompt };
+enum class ContinuationMode { none, final_message, prompt };
 // The endpoint whose format the events have.
 enum class AnswerFormat { chat, completion };
 
@@ -53,7 +53,7 @@
 // One for each stream that may be continued.
 class StreamRecovery {
  public:
-  StreamRecovery(Way way, AnswerFormat format) : way_(way), format_(format) {}
+  StreamRecovery(ContinuationMode mode, AnswerFormat format) : mode_(mode), format_(format) {}
 
   // Takes complete events of an instance and returns what goes to the client. Error events are withheld,
   // because the stream may still be recovered.
@@ -76,7 +76,7 @@
   [[nodiscard]] nlohmann::json chunk(const std::string& text, const nlohmann::json& finish) const;
   std::string retain(std::string out);
 
-  Way way_;
+  ContinuationMode mode_;
   AnswerFormat format_;
   std::string retained_;  // events that the client has received
   bool too_long_ = false;
--- a/tests/recovery_test.cpp
+++ b/tests/recovery_test.cpp
@@ -94,7 +94,7 @@
 }
 
 TEST_CASE("Recovery: a second instance's events continue the first one's answer") {
-  StreamRecovery recovery(Way::final_message, AnswerFormat::chat);
+  StreamRecovery recovery(ContinuationMode::final_message, AnswerFormat::chat);
   std::string client = recovery.forward(content_event("first", kWritten));
   client += recovery.forward("data: {\"error\":{\"message\":\"out of memory\"}}\n\n");
   CHECK_FALSE(recovery.withheld_error().empty());
@@ -133,7 +133,7 @@
 }
 
 TEST_CASE("Recovery: after a second loss the answer continues from all text written so far") {
-  StreamRecovery recovery(Way::final_message, AnswerFormat::chat);
+  StreamRecovery recovery(ContinuationMode::final_message, AnswerFormat::chat);
   std::string client = recovery.forward(content_event("first", "One, two, "));
   REQUIRE(recovery.instance_lost(request().dump()).action == Continuation::Action::resume);
   client += recovery.forward(content_event("second", "three, four, five, "));
@@ -152,17 +152,18 @@
       {{{"response_format", {{"type", "json_schema"}}}}, "response_format"},
   };
   for (const auto& [changes, why] : cases) {
-    StreamRecovery recovery(Way::final_message, AnswerFormat::chat);
+    StreamRecovery recovery(ContinuationMode::final_message, AnswerFormat::chat);
     (void)recovery.forward(content_event("first", "some words"));
     const Continuation next = recovery.instance_lost(request(changes).dump());
     CHECK(next.action == Continuation::Action::give_up);
     CHECK(std::string(next.reason).find(why) != std::string::npos);
   }
-  StreamRecovery tool(Way::final_message, AnswerFormat::chat);
+  StreamRecovery tool(ContinuationMode::final_message, AnswerFormat::chat);
   (void)tool.forward(event({{"choices", {{{"index", 0}, {"delta", {{"tool_calls", {{{"index", 0}}}}}}}}}}));
   CHECK(tool.instance_lost(request().dump()).action == Continuation::Action::give_up);
-  StreamRecovery none(Way::none, AnswerFormat::chat), prompt(Way::prompt, AnswerFormat::chat),
-      long_one(Way::final_message, AnswerFormat::chat);
+  StreamRecovery none(ContinuationMode::none, AnswerFormat::chat),
+      prompt(ContinuationMode::prompt, AnswerFormat::chat),
+      long_one(ContinuationMode::final_message, AnswerFormat::chat);
   for (StreamRecovery* each : {&none, &prompt}) {
     (void)each->forward(content_event("first", "some words"));
     CHECK(each->instance_lost(request().dump()).action == Continuation::Action::give_up);
@@ -173,12 +174,12 @@
 
 TEST_CASE(
     "Recovery: an answer that lacks only its end or has reached its token limit ends without an instance") {
-  StreamRecovery whole(Way::final_message, AnswerFormat::chat);
+  StreamRecovery whole(ContinuationMode::final_message, AnswerFormat::chat);
   (void)whole.forward(content_event("first", "all of it", "stop"));
   const Continuation next = whole.instance_lost(request().dump());
   CHECK(next.action == Continuation::Action::finish);
   CHECK(next.bytes == kDoneEvent);
-  StreamRecovery limit(Way::final_message, AnswerFormat::chat);
+  StreamRecovery limit(ContinuationMode::final_message, AnswerFormat::chat);
   for (int i = 0; i < 4; ++i) (void)limit.forward(content_event("first", "w "));
   const Continuation full = limit.instance_lost(request({{"max_tokens", 4}}).dump());
   CHECK(full.action == Continuation::Action::finish);
@@ -186,7 +187,7 @@
 }
 
 TEST_CASE("Recovery: completions continue from the prompt plus the text so far") {
-  StreamRecovery recovery(Way::prompt, AnswerFormat::completion);
+  StreamRecovery recovery(ContinuationMode::prompt, AnswerFormat::completion);
   const auto words = [](const char* text) {
     return event({{"id", "c"}, {"choices", {{{"index", 0}, {"text", text}}}}});
   };
@@ -197,12 +198,12 @@
   client += recovery.forward(words("morning"));
   client += recovery.forward(kDoneEvent);
   CHECK(read_events(client, AnswerFormat::completion).text == "in the morning");
-  CHECK(StreamRecovery(Way::prompt, AnswerFormat::completion).instance_lost("nonsense").action ==
+  CHECK(StreamRecovery(ContinuationMode::prompt, AnswerFormat::completion).instance_lost("nonsense").action ==
         Continuation::Action::give_up);
 }
 
 TEST_CASE("Recovery: an instance that starts over is detected, and nothing of its answer is sent") {
-  StreamRecovery recovery(Way::final_message, AnswerFormat::chat);
+  StreamRecovery recovery(ContinuationMode::final_message, AnswerFormat::chat);
   (void)recovery.forward(content_event("first", kWritten));
   REQUIRE(recovery.instance_lost(request().dump()).action == Continuation::Action::resume);
   CHECK(recovery.forward(content_event("second", "The card was ")).empty());
