--- a/bench/admission_bench.cpp
+++ b/bench/admission_bench.cpp
@@ -128,12 +128,12 @@
   key.id = "00000000000a";
   const std::string secret(2 * kSecretBytes, 'a'), wrong(2 * kSecretBytes, 'b');
   key.hash = hash_secret(key.salt, secret);
-  const KeyRing ring({key});
+  const ApiKeySet key_set({key});
   const std::string asked[] = {join_key(key.id, secret), join_key(key.id, wrong),
                                join_key("00000000000b", wrong), "nonsense"};
   const char* names[] = {"right", "wrong secret", "unknown ID", "no key"};
   state.SetLabel(names[state.range(0)]);
-  for (auto _ : state) benchmark::DoNotOptimize(ring.check(asked[state.range(0)]));
+  for (auto _ : state) benchmark::DoNotOptimize(key_set.check(asked[state.range(0)]));
 }
 
 }  // namespace
--- a/src/admission/door.cpp
+++ b/src/admission/door.cpp
@@ -33,7 +33,7 @@
 }
 
 bool AdmissionControl::may_use(const Caller& caller, const std::string& model) {
-  return caller.key == nullptr || KeyRing::may_use(*caller.key, model);
+  return caller.key == nullptr || ApiKeySet::may_use(*caller.key, model);
 }
 
 TenantUse& AdmissionControl::usage_of(const std::string& tenant) {
--- a/src/admission/door.hpp
+++ b/src/admission/door.hpp
@@ -92,8 +92,8 @@
       : limits_(limits), limiter_(limits.max_tenants), ledger_(limits.ledger) {}
 
   // Replaces the API keys. Without any, all clients are accepted, as one tenant without limits.
-  void keys(std::optional<KeyRing> ring) { keys_ = std::move(ring); }
-  [[nodiscard]] const std::optional<KeyRing>& keys() const { return keys_; }
+  void keys(std::optional<ApiKeySet> keys) { keys_ = std::move(keys); }
+  [[nodiscard]] const std::optional<ApiKeySet>& keys() const { return keys_; }
 
   // Authenticates the credentials of an Authorization header; nullopt if they are not known (401).
   [[nodiscard]] std::optional<Caller> identify(std::string_view credentials) const;
@@ -118,7 +118,7 @@
   [[nodiscard]] bool within_share(const TenantUse& tenant) const;
 
   AdmissionLimits limits_;
-  std::optional<KeyRing> keys_;
+  std::optional<ApiKeySet> keys_;
   Limiter limiter_;
   Ledger ledger_;
   // By tenant. At `max_tenants` entries, those without open requests are dropped.
--- a/src/admission/keys.cpp
+++ b/src/admission/keys.cpp
@@ -41,7 +41,7 @@
   return std::string(kPrefix) + id + "-" + secret;
 }
 
-KeyRing::KeyRing(std::vector<Key> keys) {
+ApiKeySet::ApiKeySet(std::vector<Key> keys) {
   for (Key& key : keys) {
     const std::string id = key.id;
     if (!keys_.emplace(id, std::move(key)).second)
@@ -50,7 +50,7 @@
   decoy_key_.hash.fill(0xff);
 }
 
-const Key* KeyRing::check(std::string_view text) const {
+const Key* ApiKeySet::check(std::string_view text) const {
   const std::optional<KeyParts> parts = parse_key(text);
   const auto it = parts ? keys_.find(parts->id) : keys_.end();
   const Key& expected = it == keys_.end() ? decoy_key_ : it->second;
@@ -59,7 +59,7 @@
   return same && it != keys_.end() ? &it->second : nullptr;
 }
 
-bool KeyRing::may_use(const Key& key, const std::string& model) {
+bool ApiKeySet::may_use(const Key& key, const std::string& model) {
   return key.models.empty() || std::ranges::count(key.models, model) > 0;
 }
 
--- a/src/admission/keys.hpp
+++ b/src/admission/keys.hpp
@@ -43,11 +43,11 @@
 std::string join_key(const std::string& id, const std::string& secret);
 
 // The set of valid API keys.
-class KeyRing {
+class ApiKeySet {
  public:
-  KeyRing() = default;
+  ApiKeySet() = default;
   // Throws std::invalid_argument that names the ID if two keys have the same one.
-  explicit KeyRing(std::vector<Key> keys);
+  explicit ApiKeySet(std::vector<Key> keys);
 
   // The key that the credentials of an `Authorization` header present; null if it is not one of these.
   [[nodiscard]] const Key* check(std::string_view text) const;
--- a/src/app/serve.cpp
+++ b/src/app/serve.cpp
@@ -109,7 +109,7 @@
     admission_control.keys(std::nullopt);
     return log::write("keys", "no API key file configured: every client of the chat API has full access");
   }
-  admission_control.keys(admission::KeyRing(*appliance.keys));
+  admission_control.keys(admission::ApiKeySet(*appliance.keys));
   log::write("keys", std::to_string(appliance.keys->size()) + " keys loaded from " + appliance.keys_file);
 }
 
--- a/src/config/keys_file.cpp
+++ b/src/config/keys_file.cpp
@@ -72,7 +72,7 @@
   }
   root.reject_unknown_keys();
   try {
-    (void)admission::KeyRing(keys);
+    (void)admission::ApiKeySet(keys);
   } catch (const std::invalid_argument& error) {
     throw BadConfig(std::string("'keys' ") + error.what());
   }
--- a/tests/door_test.cpp
+++ b/tests/door_test.cpp
@@ -35,7 +35,7 @@
 
 AdmissionControl make_door(std::vector<Key> keys, AdmissionLimits limits = {}) {
   AdmissionControl control(limits);
-  control.keys(KeyRing(std::move(keys)));
+  control.keys(ApiKeySet(std::move(keys)));
   return control;
 }
 
@@ -51,18 +51,18 @@
 }  // namespace
 
 TEST_CASE("Keys: a key is accepted only with a known ID and its exact secret") {
-  const KeyRing ring({make_key(kFirstId, "norte"), make_key(kSecondId, "sur")});
-  REQUIRE(ring.check(join_key(kSecondId, kSecret)) != nullptr);
-  CHECK(ring.check(join_key(kSecondId, kSecret))->tenant == "sur");
+  const ApiKeySet key_set({make_key(kFirstId, "norte"), make_key(kSecondId, "sur")});
+  REQUIRE(key_set.check(join_key(kSecondId, kSecret)) != nullptr);
+  CHECK(key_set.check(join_key(kSecondId, kSecret))->tenant == "sur");
   std::string wrong = kSecret;
   wrong.back() = 'b';
   for (const std::string& text :
        {join_key(kSecondId, wrong), join_key("00000000000c", kSecret), std::string(), std::string("bmx-"),
         join_key(kSecondId, kSecret) + "a", join_key(kSecondId, kSecret).substr(1), std::string(100'000, 'x'),
         "BMX-" + kSecondId + "-" + kSecret}) {
-    CHECK(ring.check(text) == nullptr);
+    CHECK(key_set.check(text) == nullptr);
   }
-  CHECK_THROWS_WITH(KeyRing({make_key(kFirstId, "a"), make_key(kFirstId, "b")}), Catch::Contains(kFirstId));
+  CHECK_THROWS_WITH(ApiKeySet({make_key(kFirstId, "a"), make_key(kFirstId, "b")}), Catch::Contains(kFirstId));
 }
 
 TEST_CASE(
@@ -252,14 +252,14 @@
   const AdmissionResult result =
       control.admit(1s, *control.identify(join_key(kFirstId, kSecret)), at_most_once_request(""));
   const Limits later{0, 2000, 0};
-  control.keys(KeyRing({make_key(kFirstId, "norte", later)}));
+  control.keys(ApiKeySet({make_key(kFirstId, "norte", later)}));
   control.request_ended(1s, result.ticket, {});
   CHECK(control.limiter().standing(1s, kFirstId, later).left_tokens == 2000);
   // A request whose key has been revoked meanwhile ends normally.
   const AdmissionResult gone =
       control.admit(1s, *control.identify(join_key(kFirstId, kSecret)), at_most_once_request("k"));
   control.record_attempt(gone.ticket);
-  control.keys(KeyRing({make_key(kSecondId, "sur")}));
+  control.keys(ApiKeySet({make_key(kSecondId, "sur")}));
   CHECK_FALSE(control.identify(join_key(kFirstId, kSecret)).has_value());
   control.request_ended(2s, gone.ticket, {true, 10, 100, Recorded{200, "", "x", false}});
   CHECK(control.limiter().open(kFirstId) == 0);
