--- a/src/net/openai/answer_writer.hpp
+++ b/src/net/openai/answer_writer.hpp
@@ -8,7 +8,7 @@
 #include <string_view>
 
 #include "core/ports.hpp"
-#include "net/openai/endings.hpp"
+#include "net/openai/error_replies.hpp"
 #include "net/openai/translate.hpp"
 
 namespace bankmux::net::openai {
--- a/src/net/openai/door_answers.hpp
+++ b/src/net/openai/door_answers.hpp
@@ -4,7 +4,7 @@
 #include <string>
 
 #include "admission/door.hpp"
-#include "net/openai/endings.hpp"
+#include "net/openai/error_replies.hpp"
 
 namespace bankmux::net::openai {
 
--- a/src/net/openai/endings.cpp
+++ b/src/net/openai/error_replies.cpp
@@ -1,4 +1,4 @@
-#include "net/openai/endings.hpp"
+#include "net/openai/error_replies.hpp"
 
 #include <algorithm>
 #include <chrono>
--- a/src/net/openai/front.cpp
+++ b/src/net/openai/front.cpp
@@ -12,7 +12,7 @@
 #include "net/http/content_coding.hpp"
 #include "net/http/payload.hpp"
 #include "net/openai/door_answers.hpp"
-#include "net/openai/endings.hpp"
+#include "net/openai/error_replies.hpp"
 #include "net/openai/facts.hpp"
 #include "net/openai/json_reader.hpp"
 #include "net/openai/reply.hpp"
--- a/tests/chat_properties_test.cpp
+++ b/tests/chat_properties_test.cpp
@@ -6,7 +6,7 @@
 #include <nlohmann/json.hpp>
 
 #include "net/http/content_coding.hpp"
-#include "net/openai/endings.hpp"
+#include "net/openai/error_replies.hpp"
 #include "net/openai/errors.hpp"
 #include "net/openai/json_reader.hpp"
 #include "net/openai/request_rules.hpp"
