--- a/bench/admission_bench.cpp
+++ b/bench/admission_bench.cpp
@@ -92,7 +92,7 @@
   for (const std::string& name : all) {
     const auto begun = ledger.begin(now, "t", name, 1, true);
     ledger.wrote(begun.number);
-    ledger.end(now, begun.number, true, Recorded{200, "application/json", kAnswer, false});
+    ledger.end(now, begun.number, true, RecordedAnswer{200, "application/json", kAnswer, false});
   }
   state.counters["bytes"] = double(allocated_bytes() - before) / double(all.size());
   std::mt19937 random(1);
--- a/src/admission/door.hpp
+++ b/src/admission/door.hpp
@@ -63,7 +63,7 @@
   Limited limited = Limited::none;
   LimitStatus limit_status;
   Ticket ticket;
-  const Recorded* answer = nullptr;  // only with `replay`; valid until the next call
+  const RecordedAnswer* answer = nullptr;  // only with `replay`; valid until the next call
 };
 
 // How an admitted request ended.
@@ -71,8 +71,8 @@
   bool may_have_run = false;  // some attempt may have executed it
   // As reported by the instance, whose figure may be wrong; unset: what was reserved is charged.
   std::optional<Tokens> used_tokens;
-  Tokens max_tokens = 0;           // upper bound on what it can have used
-  std::optional<Recorded> answer;  // the complete answer, if its client received one
+  Tokens max_tokens = 0;                 // upper bound on what it can have used
+  std::optional<RecordedAnswer> answer;  // the complete answer, if its client received one
 };
 
 // Counters of one tenant, for the operator page.
--- a/src/admission/ledger.cpp
+++ b/src/admission/ledger.cpp
@@ -49,7 +49,7 @@
     it->second.pending_attempts = std::max(it->second.pending_attempts + (may_have_run ? 1 : -1), 0);
 }
 
-void Ledger::end(Time now, Number number, bool may_have_run, std::optional<Recorded> answer) {
+void Ledger::end(Time now, Number number, bool may_have_run, std::optional<RecordedAnswer> answer) {
   expire(now);
   const auto it = entries_.find(number);
   if (it == entries_.end() || it->second.open == 0) return;
--- a/src/admission/ledger.hpp
+++ b/src/admission/ledger.hpp
@@ -26,7 +26,7 @@
 };
 
 // The answer to a request, kept to be sent again byte for byte.
-struct Recorded {
+struct RecordedAnswer {
   int status = 0;
   std::string content_type;
   std::string body;
@@ -46,7 +46,7 @@
   struct BeginResult {
     BeginStatus status = BeginStatus::fresh;
     Number number = 0;
-    const Recorded* answer = nullptr;  // valid until the next call
+    const RecordedAnswer* answer = nullptr;  // valid until the next call
   };
   // An entry as shown to operators.
   struct Shown {
@@ -73,7 +73,7 @@
   void wrote(Number number, bool may_have_run = true);
   // One request under the entry has ended. If none ever ran, the entry is erased and a repeat runs. If one
   // may have run and left no answer, the outcome is unknown, unless the request may run again anyway.
-  void end(Time now, Number number, bool may_have_run, std::optional<Recorded> answer);
+  void end(Time now, Number number, bool may_have_run, std::optional<RecordedAnswer> answer);
 
   // All entries under a key, of all tenants.
   [[nodiscard]] std::vector<Shown> find(const std::string& key) const;
@@ -91,7 +91,7 @@
     bool may_have_run = false;     // a request that has ended may have been executed
     bool outcome_unknown = false;  // the answer of such a request is not kept
     Time ended{0};
-    std::optional<Recorded> answer;
+    std::optional<RecordedAnswer> answer;
     std::optional<std::list<Number>::iterator> eviction_position;  // in ended_list(), once ended
     std::list<Number>::iterator answer_position;                   // in with_answer_, if it has an answer
   };
--- a/src/net/openai/admitted.cpp
+++ b/src/net/openai/admitted.cpp
@@ -126,17 +126,17 @@
 
 void RequestAccount::completed(int status, std::string_view content_type, std::string_view body) {
   if (too_large_ || !fits_ledger(body.size())) return settle(std::nullopt);
-  settle(admission::Recorded{status, std::string(content_type),
-                             streamed_ ? std::move(sent_stream_) : std::string(body), streamed_});
+  settle(admission::RecordedAnswer{status, std::string(content_type),
+                                   streamed_ ? std::move(sent_stream_) : std::string(body), streamed_});
 }
 
 void RequestAccount::rejected(int status, std::string_view content_type, std::string_view body) {
   used_tokens_ = 0;
   if (!fits_ledger(body.size())) return settle(std::nullopt);
-  settle(admission::Recorded{status, std::string(content_type), std::string(body), false});
+  settle(admission::RecordedAnswer{status, std::string(content_type), std::string(body), false});
 }
 
-void RequestAccount::settle(std::optional<admission::Recorded> answer) {
+void RequestAccount::settle(std::optional<admission::RecordedAnswer> answer) {
   if (std::exchange(settled_, true)) return;
   admission_control_.request_ended(scheduler_.now(), ticket_,
                                    {last_attempt_may_have_run_ || earlier_attempt_may_have_run_, used_tokens_,
--- a/src/net/openai/admitted.hpp
+++ b/src/net/openai/admitted.hpp
@@ -44,7 +44,7 @@
 
  private:
   [[nodiscard]] bool fits_ledger(std::size_t bytes) const;
-  void settle(std::optional<admission::Recorded> answer);
+  void settle(std::optional<admission::RecordedAnswer> answer);
 
   admission::AdmissionControl& admission_control_;
   core::Scheduler& scheduler_;
--- a/src/net/openai/front.cpp
+++ b/src/net/openai/front.cpp
@@ -253,7 +253,7 @@
   if (caller.key != nullptr) openai::add_limit_headers(common, result.ticket.limits, result.limit_status);
   if (result.status == admission::AdmissionStatus::admitted) return result.ticket;
   if (result.status == admission::AdmissionStatus::replay && result.answer != nullptr) {
-    const admission::Recorded& first = *result.answer;
+    const admission::RecordedAnswer& first = *result.answer;
     log::write("client", "a repeat got the first one's answer", [&]() -> json {
       return {
           {"request_id", common.front().second}, {"status", first.status}, {"tenant", result.ticket.tenant}};
--- a/tests/admission_test.cpp
+++ b/tests/admission_test.cpp
@@ -115,7 +115,7 @@
   // Keys of different tenants are distinct.
   CHECK(ledger.begin(1s, "u", "k", 8, true).status == BeginStatus::fresh);
   ledger.wrote(first.number);
-  ledger.end(2s, first.number, true, Recorded{200, "application/json", "{}", false});
+  ledger.end(2s, first.number, true, RecordedAnswer{200, "application/json", "{}", false});
   const auto again = ledger.begin(3s, "t", "k", 7, true);
   REQUIRE(again.status == BeginStatus::ended);
   REQUIRE(again.answer != nullptr);
@@ -132,7 +132,7 @@
   ledger.end(1s, lost.number, true, std::nullopt);  // its client disconnected mid-stream
   const auto large = ledger.begin(1s, "t", "c", 1, true);
   ledger.wrote(large.number);
-  ledger.end(1s, large.number, true, Recorded{200, "", std::string(51, 'x'), false});
+  ledger.end(1s, large.number, true, RecordedAnswer{200, "", std::string(51, 'x'), false});
   for (const char* key : {"b", "c"}) {
     const auto again = ledger.begin(60s, "t", key, 1, true);
     CHECK(again.status == BeginStatus::ended);
@@ -150,7 +150,7 @@
   }
   const auto safe = ledger.begin(1s, "t", "s", 1, false);
   ledger.wrote(safe.number);
-  ledger.end(1s, safe.number, true, Recorded{200, "", "", false});
+  ledger.end(1s, safe.number, true, RecordedAnswer{200, "", "", false});
   CHECK(ledger.begin(2s, "t", "c", 1, true).status == BeginStatus::fresh);
   CHECK(ledger.begin(2s, "t", "d", 1, true).status == BeginStatus::full);
   CHECK(ledger.begin(2s, "t", "a", 1, true).status == BeginStatus::ended);
@@ -181,7 +181,7 @@
   CHECK(repeat.answer == nullptr);
   // The answer of a later identical request is not replayed for the lost one.
   const auto third = ledger.begin(5s, "t", "same", 1, true, true);
-  ledger.end(6s, third.number, true, Recorded{200, "", "done", false});
+  ledger.end(6s, third.number, true, RecordedAnswer{200, "", "done", false});
   CHECK(ledger.begin(7s, "t", "same", 1, true).answer == nullptr);
 }
 
@@ -194,7 +194,7 @@
   ledger.wrote(first.number, false);  // the instance rejected it
   CHECK_FALSE(ledger.find("k").at(0).may_have_run);
   ledger.wrote(first.number);
-  ledger.end(2s, first.number, true, Recorded{200, "", "{}", false});
+  ledger.end(2s, first.number, true, RecordedAnswer{200, "", "{}", false});
   CHECK(ledger.find("k").at(0).status == 200);
   CHECK(ledger.find("other").empty());
 }
@@ -233,7 +233,7 @@
         model[key].written = true;
       } else if (open.contains(key)) {
         ledger.end(now, open[key], model[key].written,
-                   Recorded{200, "", std::string(std::size_t(*rc::gen::inRange(0, 50)), 'x'), false});
+                   RecordedAnswer{200, "", std::string(std::size_t(*rc::gen::inRange(0, 50)), 'x'), false});
         model[key].open = false;
         model[key].ended = now;
         open.erase(key);
--- a/tests/door_test.cpp
+++ b/tests/door_test.cpp
@@ -176,7 +176,8 @@
   CHECK(control.admit(1s, norte, at_most_once_request("k", 2)).status == AdmissionStatus::key_reused);
   // Keys of different tenants are distinct.
   CHECK(control.admit(1s, sur, at_most_once_request("k", 2)).status == AdmissionStatus::admitted);
-  control.request_ended(2s, first.ticket, {true, 80, 200, Recorded{200, "application/json", "{}", false}});
+  control.request_ended(2s, first.ticket,
+                        {true, 80, 200, RecordedAnswer{200, "application/json", "{}", false}});
   const AdmissionResult again = control.admit(3s, norte, at_most_once_request("k"));
   CHECK(again.status == AdmissionStatus::replay);
   REQUIRE(again.answer != nullptr);
@@ -261,7 +262,7 @@
   control.record_attempt(gone.ticket);
   control.keys(ApiKeySet({make_key(kSecondId, "sur")}));
   CHECK_FALSE(control.identify(join_key(kFirstId, kSecret)).has_value());
-  control.request_ended(2s, gone.ticket, {true, 10, 100, Recorded{200, "", "x", false}});
+  control.request_ended(2s, gone.ticket, {true, 10, 100, RecordedAnswer{200, "", "x", false}});
   CHECK(control.limiter().open(kFirstId) == 0);
 }
 
@@ -305,9 +306,9 @@
           one.sent = !one.sent;  // sent, or rejected by its instance
           control.record_attempt(one.ticket, one.sent);
         } else {
-          std::optional<Recorded> answer;
+          std::optional<RecordedAnswer> answer;
           if (one.sent && *rc::gen::arbitrary<bool>())
-            answer = Recorded{200, "", std::string(40, 'x'), false};
+            answer = RecordedAnswer{200, "", std::string(40, 'x'), false};
           may_have_run[one.key] = one.sent;
           control.request_ended(now, one.ticket,
                                 {one.sent, *rc::gen::inRange<Tokens>(-10, 10'000), 150, answer});
