--- a/bench/admission_bench.cpp
+++ b/bench/admission_bench.cpp
@@ -91,7 +91,7 @@
   Time now = 1s;
   for (const std::string& name : all) {
     const auto begun = ledger.begin(now, "t", name, 1, true);
-    ledger.wrote(begun.number);
+    ledger.record_attempt(begun.number);
     ledger.end(now, begun.number, true, RecordedAnswer{200, "application/json", kAnswer, false});
   }
   state.counters["bytes"] = double(allocated_bytes() - before) / double(all.size());
@@ -102,7 +102,7 @@
     now += 100us;
     benchmark::DoNotOptimize(ledger.begin(now, "t", all[random() % all.size()], 1, true).answer);
     const auto begun = ledger.begin(now, "t", "fresh" + std::to_string(++fresh), 1, false);
-    ledger.wrote(begun.number);
+    ledger.record_attempt(begun.number);
     ledger.end(now, begun.number, true, std::nullopt);
   }
 }
--- a/src/admission/door.cpp
+++ b/src/admission/door.cpp
@@ -126,7 +126,7 @@
 }
 
 void AdmissionControl::record_attempt(const Ticket& ticket, bool may_have_run) {
-  if (ticket.ledger_entry != 0) ledger_.wrote(ticket.ledger_entry, may_have_run);
+  if (ticket.ledger_entry != 0) ledger_.record_attempt(ticket.ledger_entry, may_have_run);
 }
 
 void AdmissionControl::request_ended(Time now, const Ticket& ticket, RequestResult end) {
--- a/src/admission/ledger.cpp
+++ b/src/admission/ledger.cpp
@@ -43,7 +43,7 @@
   return {BeginStatus::fresh, number, nullptr};
 }
 
-void Ledger::wrote(Number number, bool may_have_run) {
+void Ledger::record_attempt(Number number, bool may_have_run) {
   const auto it = entries_.find(number);
   if (it != entries_.end())
     it->second.pending_attempts = std::max(it->second.pending_attempts + (may_have_run ? 1 : -1), 0);
--- a/src/admission/ledger.hpp
+++ b/src/admission/ledger.hpp
@@ -70,7 +70,7 @@
                     bool once, bool first_try = false);
   // True: an attempt that may execute the request is about to be sent. False: that attempt is proved not to
   // have executed it.
-  void wrote(Number number, bool may_have_run = true);
+  void record_attempt(Number number, bool may_have_run = true);
   // One request under the entry has ended. If none ever ran, the entry is erased and a repeat runs. If one
   // may have run and left no answer, the outcome is unknown, unless the request may run again anyway.
   void end(Time now, Number number, bool may_have_run, std::optional<RecordedAnswer> answer);
--- a/tests/admission_test.cpp
+++ b/tests/admission_test.cpp
@@ -114,7 +114,7 @@
   CHECK(ledger.begin(1s, "t", "k", 8, true).status == BeginStatus::key_reused);
   // Keys of different tenants are distinct.
   CHECK(ledger.begin(1s, "u", "k", 8, true).status == BeginStatus::fresh);
-  ledger.wrote(first.number);
+  ledger.record_attempt(first.number);
   ledger.end(2s, first.number, true, RecordedAnswer{200, "application/json", "{}", false});
   const auto again = ledger.begin(3s, "t", "k", 7, true);
   REQUIRE(again.status == BeginStatus::ended);
@@ -128,10 +128,10 @@
   ledger.end(1s, never.number, false, std::nullopt);
   CHECK(ledger.begin(1s, "t", "a", 1, true).status == BeginStatus::fresh);
   const auto lost = ledger.begin(1s, "t", "b", 1, true);
-  ledger.wrote(lost.number);
+  ledger.record_attempt(lost.number);
   ledger.end(1s, lost.number, true, std::nullopt);  // its client disconnected mid-stream
   const auto large = ledger.begin(1s, "t", "c", 1, true);
-  ledger.wrote(large.number);
+  ledger.record_attempt(large.number);
   ledger.end(1s, large.number, true, RecordedAnswer{200, "", std::string(51, 'x'), false});
   for (const char* key : {"b", "c"}) {
     const auto again = ledger.begin(60s, "t", key, 1, true);
@@ -145,11 +145,11 @@
   Ledger ledger({3, 1000, 1000, 3600s});
   for (const char* key : {"a", "b"}) {
     const auto once = ledger.begin(1s, "t", key, 1, true);
-    ledger.wrote(once.number);
+    ledger.record_attempt(once.number);
     ledger.end(1s, once.number, true, std::nullopt);
   }
   const auto safe = ledger.begin(1s, "t", "s", 1, false);
-  ledger.wrote(safe.number);
+  ledger.record_attempt(safe.number);
   ledger.end(1s, safe.number, true, RecordedAnswer{200, "", "", false});
   CHECK(ledger.begin(2s, "t", "c", 1, true).status == BeginStatus::fresh);
   CHECK(ledger.begin(2s, "t", "d", 1, true).status == BeginStatus::full);
@@ -160,7 +160,7 @@
 TEST_CASE("Ledger: a repeatable request whose answer is not kept may run again") {
   Ledger ledger({});
   const auto broken = ledger.begin(1s, "t", "a", 1, false);
-  ledger.wrote(broken.number);
+  ledger.record_attempt(broken.number);
   ledger.end(1s, broken.number, true, std::nullopt);
   CHECK(ledger.begin(2s, "t", "a", 1, false).status == BeginStatus::fresh);
   CHECK(ledger.entries() == 1);
@@ -170,7 +170,7 @@
   Ledger ledger({});
   // The first request is lost. An identical second one, also a first try, ends without having run.
   const auto lost = ledger.begin(1s, "t", "same", 1, true, true);
-  ledger.wrote(lost.number);
+  ledger.record_attempt(lost.number);
   ledger.end(1s, lost.number, true, std::nullopt);
   const auto twin = ledger.begin(2s, "t", "same", 1, true, true);
   CHECK(twin.status == BeginStatus::fresh);
@@ -189,11 +189,11 @@
   Ledger ledger({});
   const auto first = ledger.begin(1s, "t", "k", 1, true);
   CHECK_FALSE(ledger.find("k").at(0).may_have_run);
-  ledger.wrote(first.number);
+  ledger.record_attempt(first.number);
   CHECK(ledger.find("k").at(0).may_have_run);
-  ledger.wrote(first.number, false);  // the instance rejected it
+  ledger.record_attempt(first.number, false);  // the instance rejected it
   CHECK_FALSE(ledger.find("k").at(0).may_have_run);
-  ledger.wrote(first.number);
+  ledger.record_attempt(first.number);
   ledger.end(2s, first.number, true, RecordedAnswer{200, "", "{}", false});
   CHECK(ledger.find("k").at(0).status == 200);
   CHECK(ledger.find("other").empty());
@@ -229,7 +229,7 @@
           RC_ASSERT(open.contains(key));
         }
       } else if (open.contains(key) && what == 1) {
-        ledger.wrote(open[key]);
+        ledger.record_attempt(open[key]);
         model[key].written = true;
       } else if (open.contains(key)) {
         ledger.end(now, open[key], model[key].written,
