--- a/src/admission/door.cpp
+++ b/src/admission/door.cpp
@@ -58,7 +58,7 @@
     ticket.tenant = caller.key->tenant;
     ticket.key_id = caller.key->id;
     ticket.limits = caller.key->limits;
-    result.limit_status = limiter_.standing(now, ticket.key_id, ticket.limits);
+    result.limit_status = limiter_.limit_status(now, ticket.key_id, ticket.limits);
   }
   TenantUse& tenant = usage_of(ticket.tenant);
   const auto reject = [&](AdmissionStatus status, std::uint64_t& count, Duration wait) {
--- a/src/admission/limiter.cpp
+++ b/src/admission/limiter.cpp
@@ -54,7 +54,7 @@
   const auto known = tenants_.find(tenant);
   const Tenant before = known != tenants_.end() ? known->second : Tenant{};
   const auto reject = [&](Limited why, Duration wait) {
-    return Decision{why, wait, standing(now, tenant, limits)};
+    return Decision{why, wait, limit_status(now, tenant, limits)};
   };
   if (limits.open > 0 && before.open >= limits.open) return reject(Limited::open, Duration{0});
   if (limits.requests_per_minute > 0) {
@@ -74,7 +74,7 @@
     entry.tokens = std::max(entry.tokens, now) + time_cost(reserved, limits.tokens_per_minute);
   }
   ++entry.open;
-  return {Limited::none, Duration{0}, standing(now, tenant, limits)};
+  return {Limited::none, Duration{0}, limit_status(now, tenant, limits)};
 }
 
 void Limiter::refund(const std::string& tenant, const Limits& limits, std::int64_t requests, Tokens tokens) {
@@ -100,7 +100,7 @@
   refund(tenant, limits, 1, std::clamp<Tokens>(reserved, 0, kMaxTokens));
 }
 
-LimitStatus Limiter::standing(Time caller_time, const std::string& tenant, const Limits& limits) const {
+LimitStatus Limiter::limit_status(Time caller_time, const std::string& tenant, const Limits& limits) const {
   const Time now = std::max(now_, caller_time);
   const auto it = tenants_.find(tenant);
   const Tenant entry = it != tenants_.end() ? it->second : Tenant{};
--- a/src/admission/limiter.hpp
+++ b/src/admission/limiter.hpp
@@ -27,7 +27,7 @@
 
 // What is left of the limits and the time until the full allowance is available again, for response headers.
 struct LimitStatus {
-  std::int64_t left_requests = 0, left_tokens = 0;
+  std::int64_t remaining_requests = 0, remaining_tokens = 0;
   Duration reset_requests{0}, reset_tokens{0};
 };
 
@@ -52,7 +52,7 @@
   // An admitted request never ran: refunds all of it.
   void refund_request(Time now, const std::string& tenant, const Limits& limits, Tokens reserved);
 
-  [[nodiscard]] LimitStatus standing(Time now, const std::string& tenant, const Limits& limits) const;
+  [[nodiscard]] LimitStatus limit_status(Time now, const std::string& tenant, const Limits& limits) const;
   [[nodiscard]] int open(const std::string& tenant) const;
   [[nodiscard]] std::size_t tenants() const { return tenants_.size(); }
 
--- a/src/net/appliance/operator_page.cpp
+++ b/src/net/appliance/operator_page.cpp
@@ -132,7 +132,7 @@
   for (const auto& [name, usage] : admission_control_.tenants()) all[name] = tenant_json(usage);
   if (admission_control_.keys()) {
     for (const auto& [id, key] : admission_control_.keys()->keys()) {
-      const auto standing = admission_control_.limiter().standing(scheduler_.now(), id, key.limits);
+      const auto status = admission_control_.limiter().limit_status(scheduler_.now(), id, key.limits);
       const auto [it, inserted] = all.try_emplace(key.tenant);
       if (inserted) it->second = tenant_json({key.tenant});
       const auto limit = [](std::int64_t most, std::int64_t left) {
@@ -141,8 +141,8 @@
       it->second["keys"].push_back(
           {{"id", id},
            {"models", key.models},
-           {"requests_per_minute", limit(key.limits.requests_per_minute, standing.left_requests)},
-           {"tokens_per_minute", limit(key.limits.tokens_per_minute, standing.left_tokens)},
+           {"requests_per_minute", limit(key.limits.requests_per_minute, status.remaining_requests)},
+           {"tokens_per_minute", limit(key.limits.tokens_per_minute, status.remaining_tokens)},
            {"open", limit(key.limits.open, key.limits.open - admission_control_.limiter().open(id))}});
     }
   }
--- a/src/net/openai/door_answers.cpp
+++ b/src/net/openai/door_answers.cpp
@@ -91,8 +91,8 @@
     headers.emplace_back("x-ratelimit-remaining-" + what, std::to_string(left));
     headers.emplace_back("x-ratelimit-reset-" + what, reset_text(reset));
   };
-  add("requests", limits.requests_per_minute, status.left_requests, status.reset_requests);
-  add("tokens", limits.tokens_per_minute, status.left_tokens, status.reset_tokens);
+  add("requests", limits.requests_per_minute, status.remaining_requests, status.reset_requests);
+  add("tokens", limits.tokens_per_minute, status.remaining_tokens, status.reset_tokens);
 }
 
 std::string idempotency_key(const Headers& headers) {
--- a/tests/admission_test.cpp
+++ b/tests/admission_test.cpp
@@ -22,7 +22,7 @@
   CHECK(passed == 60);
   const Decision decision = limiter.take(60'001ms, "t", limits, 0);
   CHECK(decision.limited == Limited::requests);
-  CHECK(decision.limit_status.left_requests == 0);
+  CHECK(decision.limit_status.remaining_requests == 0);
   // The reported wait is sufficient, and a shorter one is not.
   CHECK(limiter.take(60'001ms + decision.wait - 1ms, "t", limits, 0).limited == Limited::requests);
   CHECK(limiter.take(60'001ms + decision.wait, "t", limits, 0).limited == Limited::none);
@@ -33,11 +33,11 @@
   const Limits limits{0, 1000, 0};
   CHECK(limiter.take(1s, "t", limits, 400).limited == Limited::none);
   limiter.refund_request(1s, "t", limits, 400);
-  CHECK(limiter.standing(1s, "t", limits).left_tokens == 1000);
+  CHECK(limiter.limit_status(1s, "t", limits).remaining_tokens == 1000);
   for (const Tokens used : {Tokens(-5), Tokens(1'000'000'000'000'000'000)}) {
     CHECK(limiter.take(1s, "t", limits, 400).limited == Limited::none);
     limiter.settle(1s, "t", limits, 400, used, 500);
-    CHECK(limiter.standing(1s, "t", limits).left_tokens == (used < 0 ? 1000 : 500));
+    CHECK(limiter.limit_status(1s, "t", limits).remaining_tokens == (used < 0 ? 1000 : 500));
   }
   CHECK(limiter.open("t") == 0);
 }
@@ -101,8 +101,8 @@
     }
     for (const Tokens tokens : open) limiter.refund_request(now, "t", limits, tokens);
     RC_ASSERT(limiter.open("t") == 0);
-    RC_ASSERT(limiter.standing(now, "t", limits).left_requests >= 99);
-    RC_ASSERT(limiter.standing(now, "t", limits).left_tokens >= 9'999);
+    RC_ASSERT(limiter.limit_status(now, "t", limits).remaining_requests >= 99);
+    RC_ASSERT(limiter.limit_status(now, "t", limits).remaining_tokens >= 9'999);
   }));
 }
 
--- a/tests/door_test.cpp
+++ b/tests/door_test.cpp
@@ -136,7 +136,7 @@
   CHECK(tokens.status == AdmissionStatus::limited);
   CHECK(tokens.limited == Limited::tokens);
   CHECK(tokens.wait > 0s);
-  CHECK(tokens.limit_status.left_tokens == 400);
+  CHECK(tokens.limit_status.remaining_tokens == 400);
   request.reserved_tokens = 10;
   CHECK(control.admit(1s, norte, request).status == AdmissionStatus::admitted);
   const AdmissionResult requests = control.admit(1s, norte, request);
@@ -231,7 +231,7 @@
     const AdmissionResult result = control.admit(now, norte, at_most_once_request(""));
     REQUIRE(result.status == AdmissionStatus::admitted);
     control.request_ended(now, result.ticket, {true, c.used, 500, std::nullopt});
-    CHECK(control.limiter().standing(now, kFirstId, norte.key->limits).left_tokens == c.left);
+    CHECK(control.limiter().limit_status(now, kFirstId, norte.key->limits).remaining_tokens == c.left);
   }
   using net::openai::find_usage;
   CHECK(find_usage(R"({"usage":{"prompt_tokens":10,"completion_tokens":5}})") == 15);
@@ -255,7 +255,7 @@
   const Limits later{0, 2000, 0};
   control.keys(ApiKeySet({make_key(kFirstId, "norte", later)}));
   control.request_ended(1s, result.ticket, {});
-  CHECK(control.limiter().standing(1s, kFirstId, later).left_tokens == 2000);
+  CHECK(control.limiter().limit_status(1s, kFirstId, later).remaining_tokens == 2000);
   // A request whose key has been revoked meanwhile ends normally.
   const AdmissionResult gone =
       control.admit(1s, *control.identify(join_key(kFirstId, kSecret)), at_most_once_request("k"));
@@ -322,7 +322,7 @@
     now += 10min;
     for (const std::string& id : {kFirstId, kSecondId}) {
       RC_ASSERT(control.limiter().open(id) == 0);
-      RC_ASSERT(control.limiter().standing(now, id, each).left_tokens == each.tokens_per_minute);
+      RC_ASSERT(control.limiter().limit_status(now, id, each).remaining_tokens == each.tokens_per_minute);
     }
     for (const auto& [name, use] : control.tenants()) RC_ASSERT(use.open == 0U);
   }));
