--- a/src/admission/door.cpp
+++ b/src/admission/door.cpp
@@ -36,16 +36,16 @@
   return caller.key == nullptr || ApiKeySet::may_use(*caller.key, model);
 }
 
-TenantUse& AdmissionControl::usage_of(const std::string& tenant) {
+TenantUsage& AdmissionControl::usage_of(const std::string& tenant) {
   if (usage_.size() >= limits_.max_tenants && !usage_.contains(tenant)) {
     std::erase_if(usage_, [](const auto& entry) { return entry.second.open == 0; });
   }
-  TenantUse& found = usage_[tenant];
+  TenantUsage& found = usage_[tenant];
   found.name = tenant;
   return found;
 }
 
-bool AdmissionControl::within_share(const TenantUse& tenant) const {
+bool AdmissionControl::within_share(const TenantUsage& tenant) const {
   return may_take_slot(
       tenant.open, {limits_.max_open_requests, open_requests_, active_tenants_ + (tenant.open == 0 ? 1 : 0)});
 }
@@ -60,7 +60,7 @@
     ticket.limits = caller.key->limits;
     result.limit_status = limiter_.limit_status(now, ticket.key_id, ticket.limits);
   }
-  TenantUse& tenant = usage_of(ticket.tenant);
+  TenantUsage& tenant = usage_of(ticket.tenant);
   const auto reject = [&](AdmissionStatus status, std::uint64_t& count, Duration wait) {
     ++count;
     result.status = status;
@@ -130,7 +130,7 @@
 }
 
 void AdmissionControl::request_ended(Time now, const Ticket& ticket, RequestResult end) {
-  TenantUse& tenant = usage_of(ticket.tenant);
+  TenantUsage& tenant = usage_of(ticket.tenant);
   if (!ticket.key_id.empty()) {
     if (end.may_have_run) {
       const Tokens used = end.used_tokens.value_or(ticket.reserved);
--- a/src/admission/door.hpp
+++ b/src/admission/door.hpp
@@ -76,7 +76,7 @@
 };
 
 // Counters of one tenant, for the operator page.
-struct TenantUse {
+struct TenantUsage {
   std::string name;
   std::size_t open = 0;
   // Requests that were: admitted; over a rate limit; over the tenant's share; answered from the ledger;
@@ -108,21 +108,21 @@
   // Settles the account of an admitted request; called once for each.
   void request_ended(Time now, const Ticket& ticket, RequestResult end);
 
-  [[nodiscard]] const std::map<std::string, TenantUse>& tenants() const { return usage_; }
+  [[nodiscard]] const std::map<std::string, TenantUsage>& tenants() const { return usage_; }
   [[nodiscard]] std::uint64_t unknown_keys() const { return unknown_keys_; }
   [[nodiscard]] const Ledger& ledger() const { return ledger_; }
   [[nodiscard]] const Limiter& limiter() const { return limiter_; }
 
  private:
-  TenantUse& usage_of(const std::string& tenant);
-  [[nodiscard]] bool within_share(const TenantUse& tenant) const;
+  TenantUsage& usage_of(const std::string& tenant);
+  [[nodiscard]] bool within_share(const TenantUsage& tenant) const;
 
   AdmissionLimits limits_;
   std::optional<ApiKeySet> keys_;
   Limiter limiter_;
   Ledger ledger_;
   // By tenant. At `max_tenants` entries, those without open requests are dropped.
-  std::map<std::string, TenantUse> usage_;
+  std::map<std::string, TenantUsage> usage_;
   std::size_t open_requests_ = 0, active_tenants_ = 0;  // open requests, and tenants that have any
   std::uint64_t unknown_keys_ = 0;
 };
--- a/src/net/appliance/operator_page.cpp
+++ b/src/net/appliance/operator_page.cpp
@@ -17,7 +17,7 @@
 
 constexpr std::size_t kMaxTenantsOnStatusPage = 20;  // /-/tenants shows all
 
-json tenant_json(const admission::TenantUse& usage) {
+json tenant_json(const admission::TenantUsage& usage) {
   return {{"tenant", usage.name},       {"open", usage.open},        {"admitted", usage.admitted},
           {"tokens", usage.tokens},     {"limited", usage.limited},  {"over_share", usage.over_share},
           {"held_off", usage.held_off}, {"replayed", usage.replayed}};
@@ -115,7 +115,7 @@
         {"most", admission_control_.ledger().limits().entries},
         {"answer_bytes", admission_control_.ledger().answer_bytes()}}},
       {"tenants", json::array()}};
-  std::vector<const admission::TenantUse*> busiest;
+  std::vector<const admission::TenantUsage*> busiest;
   for (const auto& [name, usage] : admission_control_.tenants()) busiest.push_back(&usage);
   const std::size_t shown = std::min(busiest.size(), kMaxTenantsOnStatusPage);
   std::ranges::partial_sort(busiest, busiest.begin() + std::ptrdiff_t(shown),
