--- a/src/admission/ledger.cpp
+++ b/src/admission/ledger.cpp
@@ -83,8 +83,8 @@
   }
 }
 
-std::vector<Ledger::Shown> Ledger::find(const std::string& key) const {
-  std::vector<Shown> found;
+std::vector<Ledger::EntryInfo> Ledger::find(const std::string& key) const {
+  std::vector<EntryInfo> found;
   for (const auto& [number, e] : entries_) {
     if (e.key != key) continue;
     found.push_back({e.tenant, e.key, e.once, e.open, e.may_have_run || e.pending_attempts > 0,
--- a/src/admission/ledger.hpp
+++ b/src/admission/ledger.hpp
@@ -49,7 +49,7 @@
     const RecordedAnswer* answer = nullptr;  // valid until the next call
   };
   // An entry as shown to operators.
-  struct Shown {
+  struct EntryInfo {
     std::string tenant, key;
     bool once = false;  // requests of its class must not run twice
     int open = 0;       // requests under this key that are running
@@ -76,7 +76,7 @@
   void end(Time now, Number number, bool may_have_run, std::optional<RecordedAnswer> answer);
 
   // All entries under a key, of all tenants.
-  [[nodiscard]] std::vector<Shown> find(const std::string& key) const;
+  [[nodiscard]] std::vector<EntryInfo> find(const std::string& key) const;
   [[nodiscard]] const LedgerLimits& limits() const { return limits_; }
   [[nodiscard]] std::size_t entries() const { return entries_.size(); }
   [[nodiscard]] std::size_t answer_bytes() const { return answer_bytes_; }
--- a/src/net/appliance/operator_page.cpp
+++ b/src/net/appliance/operator_page.cpp
@@ -153,7 +153,7 @@
 
 std::string OperatorPage::ledger(const std::string& key) const {
   json out = {{"key", key}, {"entries", json::array()}};
-  for (const admission::Ledger::Shown& entry : admission_control_.ledger().find(key)) {
+  for (const admission::Ledger::EntryInfo& entry : admission_control_.ledger().find(key)) {
     const bool known = entry.status != 0;
     const char* state = entry.open > 0 ? "running" : known ? "answered" : "outcome_unknown";
     out["entries"].push_back({{"tenant", entry.tenant},
