--- a/src/net/instances/instance_client.cpp
+++ b/src/net/instances/instance_client.cpp
@@ -219,7 +219,7 @@
     result.ended_by_error_event = scanner_.failed();
     if (const auto report = response.header("X-Pressure"); !report.empty())
       result.report = sse::parse_report(report);
-    result.cached_tokens = scanner_.found();
+    result.cached_tokens = scanner_.reported_cached_tokens();
     if (result.verdict == Verdict::state_held) result.cached_tokens = sse::cached_tokens(body_).value_or(0);
     if (result.verdict == Verdict::rejected) {
       result.answer = std::make_shared<core::Answer>(
--- a/src/sse/stream_scanner.cpp
+++ b/src/sse/stream_scanner.cpp
@@ -129,7 +129,7 @@
         break;
     }
   }
-  if (usage) found_ = std::max(found_, cached_tokens(text).value_or(0));
+  if (usage) reported_cached_tokens_ = std::max(reported_cached_tokens_, cached_tokens(text).value_or(0));
   if (error) {
     const json value = json::parse(text, nullptr, false);
     if (value.is_object() && value.contains("error") && !value["error"].is_null()) failed_ = true;
--- a/src/sse/stream_scanner.hpp
+++ b/src/sse/stream_scanner.hpp
@@ -25,7 +25,7 @@
 
   void feed(std::string_view bytes);
   // Prompt tokens that the instance's KV cache already held, as reported in the usage; 0: none reported.
-  [[nodiscard]] eiderarch::Tokens found() const { return found_; }
+  [[nodiscard]] eiderarch::Tokens reported_cached_tokens() const { return reported_cached_tokens_; }
   // The last load report, which instances send as a comment line; empty if there was none.
   [[nodiscard]] const eiderarch::LoadReport& report() const { return report_; }
   // An error event was seen: the answer is incomplete, however its stream ends.
@@ -44,7 +44,7 @@
   bool skip_line_ = false;
   bool after_cr_ = false;
   bool failed_ = false, finished_ = false, done_ = false;
-  eiderarch::Tokens found_ = 0;
+  eiderarch::Tokens reported_cached_tokens_ = 0;
   eiderarch::LoadReport report_;
 };
 
--- a/tests/wire_parsers_test.cpp
+++ b/tests/wire_parsers_test.cpp
@@ -111,7 +111,7 @@
       "data: {\"usage\":{\"prompt_tokens_details\":{\"cached_tokens\":4096}}}\n\n"
       ": X-Pressure: inflight=7,queue=2,odd,util=0.5\n\n";
   for (const char byte : text) scanner.feed(std::string_view(&byte, 1));
-  CHECK(scanner.found() == 4096);
+  CHECK(scanner.reported_cached_tokens() == 4096);
   CHECK_FALSE(scanner.failed());
   REQUIRE(scanner.report().size() == 3);
   CHECK(scanner.report()[2].value == 0.5);
