--- a/src/net/instances/instance_client.cpp
+++ b/src/net/instances/instance_client.cpp
@@ -77,7 +77,7 @@
 }
 
 std::string encode_state(const ResponseParser::BodyPosition& position,
-                         const sse::StreamScanner::Open& scanner_state) {
+                         const sse::StreamScanner::State& scanner_state) {
   const auto bytes = [](const std::string& text) {
     return nlohmann::json::binary(std::vector<std::uint8_t>(text.begin(), text.end()));
   };
@@ -97,15 +97,15 @@
 }
 
 // Throws nlohmann::json::exception if `text` does not have the format of encode_state.
-std::pair<ResponseParser::BodyPosition, sse::StreamScanner::Open> decode_state(const std::string& text) {
+std::pair<ResponseParser::BodyPosition, sse::StreamScanner::State> decode_state(const std::string& text) {
   const nlohmann::json state = nlohmann::json::from_cbor(text);
   const auto bytes = [&state](const char* name) {
     const auto& value = state.at(name).get_binary();
     return std::string(value.begin(), value.end());
   };
   ResponseParser::BodyPosition position{state.at("part"), state.at("left"), bytes("line"), state.at("keep")};
-  sse::StreamScanner::Open scanner_state{bytes("event_line"), bytes("event_data"),  state.at("event_lines"),
-                                         state.at("skip"),    state.at("after_cr"), state.at("failed")};
+  sse::StreamScanner::State scanner_state{bytes("event_line"), bytes("event_data"),  state.at("event_lines"),
+                                          state.at("skip"),    state.at("after_cr"), state.at("failed")};
   return {std::move(position), std::move(scanner_state)};
 }
 
@@ -131,7 +131,7 @@
 
   // Continues a stream in the platform dialect that another process began.
   HttpAttempt(Loop& loop, InstancePool& pool, const std::string& address, int descriptor,
-              const ResponseParser::BodyPosition& position, sse::StreamScanner::Open scanner_state,
+              const ResponseParser::BodyPosition& position, sse::StreamScanner::State scanner_state,
               core::AttemptEvents& events)
       : loop_(loop),
         events_(events),
@@ -147,7 +147,7 @@
     const int descriptor = dialect_ == Dialect::platform && streamed_ ? exchange_.handover_descriptor() : -1;
     if (descriptor < 0) return std::nullopt;
     const ResponseParser::BodyPosition position = *exchange_.response().position();
-    const sse::StreamScanner::Open scanner_state = scanner_.open();
+    const sse::StreamScanner::State scanner_state = scanner_.state();
     return core::HandoverState{descriptor, encode_state(position, scanner_state)};
   }
   [[nodiscard]] Progress progress() const override { return exchange_.progress(); }
--- a/src/sse/stream_scanner.cpp
+++ b/src/sse/stream_scanner.cpp
@@ -42,13 +42,13 @@
   return details != usage->end() && details->is_object() ? integer_or_zero(*details, "cached_tokens") : 0;
 }
 
-StreamScanner::StreamScanner(Open open)
-    : line_(std::move(open.line)),
-      data_(std::move(open.data)),
-      data_lines_(open.data_lines),
-      skip_line_(open.skip),
-      after_cr_(open.after_cr),
-      failed_(open.failed) {}
+StreamScanner::StreamScanner(State state)
+    : line_(std::move(state.line)),
+      data_(std::move(state.data)),
+      data_lines_(state.data_lines),
+      skip_line_(state.skip),
+      after_cr_(state.after_cr),
+      failed_(state.failed) {}
 
 void StreamScanner::feed(std::string_view bytes) {
   while (!bytes.empty()) {
--- a/src/sse/stream_scanner.hpp
+++ b/src/sse/stream_scanner.hpp
@@ -14,14 +14,14 @@
  public:
   // State between two calls of feed(), from which another scanner can continue, for example in the process
   // that takes the stream over.
-  struct Open {
+  struct State {
     std::string line, data;
     int data_lines = 0;
     bool skip = false, after_cr = false, failed = false;
   };
   StreamScanner() = default;
-  explicit StreamScanner(Open open);
-  [[nodiscard]] Open open() const { return {line_, data_, data_lines_, skip_line_, after_cr_, failed_}; }
+  explicit StreamScanner(State state);
+  [[nodiscard]] State state() const { return {line_, data_, data_lines_, skip_line_, after_cr_, failed_}; }
 
   void feed(std::string_view bytes);
   // Prompt tokens that the instance's KV cache already held, as reported in the usage; 0: none reported.
--- a/tests/handover_test.cpp
+++ b/tests/handover_test.cpp
@@ -85,7 +85,7 @@
     const auto position = first.position();
     REQUIRE(position.has_value());
     REQUIRE(second.resume_stream(*position));
-    sse::StreamScanner second_scanner(first_scanner.open());
+    sse::StreamScanner second_scanner(first_scanner.state());
     std::string rest;
     CHECK(second.feed(body.substr(at), rest) == body.size() - at);
     second_scanner.feed(rest);
