--- a/src/net/instances/instance_client.cpp
+++ b/src/net/instances/instance_client.cpp
@@ -172,8 +172,8 @@
     scanner_.feed(bytes);
     if (!answer_started_) {
       unsent_prefix_ += bytes;
-      (void)splitter_.feed(bytes,
-                           [this](std::string_view event) { answer_started_ |= !sse::only_comments(event); });
+      (void)splitter_.feed(
+          bytes, [this](std::string_view event) { answer_started_ |= !sse::is_comment_only(event); });
       // Bounds memory: a longer first event is forwarded in parts.
       answer_started_ |= unsent_prefix_.size() > kMaxUnsentPrefixBytes;
       if (!answer_started_) return;
@@ -191,7 +191,7 @@
       answer_complete_ = scanner_.done() || (scanner_.failed() && !answer_started_) || too_large_;
       if (scanner_.failed() && !answer_started_) return;
       // Comments do not begin the answer. They are held back until its first event.
-      if (!answer_started_ && sse::only_comments(event)) {
+      if (!answer_started_ && sse::is_comment_only(event)) {
         if (unsent_prefix_.size() + event.size() <= kMaxUnsentPrefixBytes) unsent_prefix_ += event;
         return;
       }
--- a/src/recovery/recovery.cpp
+++ b/src/recovery/recovery.cpp
@@ -161,7 +161,7 @@
     return (last.empty() ? "" : event_of(chunk(last, nullptr))) + "data: [DONE]\n\n";
   }
   json value = json::parse(data, nullptr, false);
-  if (!value.is_object()) return sse::only_comments(event) ? std::string(event) : "";
+  if (!value.is_object()) return sse::is_comment_only(event) ? std::string(event) : "";
   for (const char* name : kCommonFields) {
     if (written_.common_fields.contains(name)) {
       value[name] = written_.common_fields[name];
--- a/src/sse/event_splitter.cpp
+++ b/src/sse/event_splitter.cpp
@@ -34,7 +34,7 @@
   return std::string_view::npos;
 }
 
-bool only_comments(std::string_view event) {
+bool is_comment_only(std::string_view event) {
   if (event.starts_with("\xEF\xBB\xBF")) event.remove_prefix(3);
   bool line_start = true;
   for (std::size_t at = 0; at < event.size(); ++at) {
--- a/src/sse/event_splitter.hpp
+++ b/src/sse/event_splitter.hpp
@@ -67,7 +67,7 @@
 };
 
 // Whether an event consists only of comments and empty lines.
-[[nodiscard]] bool only_comments(std::string_view event);
+[[nodiscard]] bool is_comment_only(std::string_view event);
 // The data of one event: its data lines joined by LF.
 [[nodiscard]] std::string event_data(std::string_view event);
 
