--- a/bench/admission_bench.cpp
+++ b/bench/admission_bench.cpp
@@ -129,8 +129,8 @@
   const std::string secret(2 * kSecretBytes, 'a'), wrong(2 * kSecretBytes, 'b');
   key.hash = hash_secret(key.salt, secret);
   const ApiKeySet key_set({key});
-  const std::string asked[] = {join_key(key.id, secret), join_key(key.id, wrong),
-                               join_key("00000000000b", wrong), "nonsense"};
+  const std::string asked[] = {format_key(key.id, secret), format_key(key.id, wrong),
+                               format_key("00000000000b", wrong), "nonsense"};
   const char* names[] = {"right", "wrong secret", "unknown ID", "no key"};
   state.SetLabel(names[state.range(0)]);
   for (auto _ : state) benchmark::DoNotOptimize(key_set.check(asked[state.range(0)]));
--- a/src/admission/keys.cpp
+++ b/src/admission/keys.cpp
@@ -37,7 +37,7 @@
   return KeyParts{std::string(id), std::string(secret)};
 }
 
-std::string join_key(const std::string& id, const std::string& secret) {
+std::string format_key(const std::string& id, const std::string& secret) {
   return std::string(kPrefix) + id + "-" + secret;
 }
 
--- a/src/admission/keys.hpp
+++ b/src/admission/keys.hpp
@@ -40,7 +40,7 @@
 };
 // Splits a key that a client sent; nullopt if it is not of the form `bmx-ID-SECRET`.
 std::optional<KeyParts> parse_key(std::string_view text);
-std::string join_key(const std::string& id, const std::string& secret);
+std::string format_key(const std::string& id, const std::string& secret);
 
 // The set of valid API keys.
 class ApiKeySet {
--- a/src/app/key_command.cpp
+++ b/src/app/key_command.cpp
@@ -82,7 +82,7 @@
   // Validates the new key like one read from a file, so that an invalid tenant name is rejected here.
   (void)config::parse_keys(config::keys_json(keys));
   config::write_keys(order.file, keys);
-  std::printf("%s\n", admission::join_key(key.id, secret).c_str());
+  std::printf("%s\n", admission::format_key(key.id, secret).c_str());
   std::fprintf(stderr,
                "key %s for tenant '%s' added to %s; it is shown this once. A serving bankmux takes it "
                "on SIGHUP.\n",
--- a/tests/door_test.cpp
+++ b/tests/door_test.cpp
@@ -52,14 +52,14 @@
 
 TEST_CASE("Keys: a key is accepted only with a known ID and its exact secret") {
   const ApiKeySet key_set({make_key(kFirstId, "norte"), make_key(kSecondId, "sur")});
-  REQUIRE(key_set.check(join_key(kSecondId, kSecret)) != nullptr);
-  CHECK(key_set.check(join_key(kSecondId, kSecret))->tenant == "sur");
+  REQUIRE(key_set.check(format_key(kSecondId, kSecret)) != nullptr);
+  CHECK(key_set.check(format_key(kSecondId, kSecret))->tenant == "sur");
   std::string wrong = kSecret;
   wrong.back() = 'b';
   for (const std::string& text :
-       {join_key(kSecondId, wrong), join_key("00000000000c", kSecret), std::string(), std::string("bmx-"),
-        join_key(kSecondId, kSecret) + "a", join_key(kSecondId, kSecret).substr(1), std::string(100'000, 'x'),
-        "BMX-" + kSecondId + "-" + kSecret}) {
+       {format_key(kSecondId, wrong), format_key("00000000000c", kSecret), std::string(), std::string("bmx-"),
+        format_key(kSecondId, kSecret) + "a", format_key(kSecondId, kSecret).substr(1),
+        std::string(100'000, 'x'), "BMX-" + kSecondId + "-" + kSecret}) {
     CHECK(key_set.check(text) == nullptr);
   }
   CHECK_THROWS_WITH(ApiKeySet({make_key(kFirstId, "a"), make_key(kFirstId, "b")}), Catch::Contains(kFirstId));
@@ -126,8 +126,8 @@
 TEST_CASE("Admission control: a rate-limited key gets a wait, and a rejected request costs nothing") {
   AdmissionControl control =
       make_door({make_key(kFirstId, "norte", {2, 1000, 0}), make_key(kSecondId, "sur")});
-  const Caller norte = *control.identify(join_key(kFirstId, kSecret)),
-               sur = *control.identify(join_key(kSecondId, kSecret));
+  const Caller norte = *control.identify(format_key(kFirstId, kSecret)),
+               sur = *control.identify(format_key(kSecondId, kSecret));
   AdmissionRequest request;
   request.reserved_tokens = 600;
   const AdmissionResult first = control.admit(1s, norte, request);
@@ -152,8 +152,8 @@
   AdmissionLimits limits;
   limits.max_open_requests = 20;
   AdmissionControl control = make_door({make_key(kFirstId, "norte"), make_key(kSecondId, "sur")}, limits);
-  const Caller norte = *control.identify(join_key(kFirstId, kSecret)),
-               sur = *control.identify(join_key(kSecondId, kSecret));
+  const Caller norte = *control.identify(format_key(kFirstId, kSecret)),
+               sur = *control.identify(format_key(kSecondId, kSecret));
   int admitted = 0;
   for (int i = 0; i < 100; ++i) admitted += control.admit(1s, norte, {}).status == AdmissionStatus::admitted;
   CHECK(admitted == 15);
@@ -166,8 +166,8 @@
 TEST_CASE(
     "Admission control: a repeat is deferred, replayed or reported as outcome unknown, and never runs") {
   AdmissionControl control = make_door({make_key(kFirstId, "norte", {0, 0, 1}), make_key(kSecondId, "sur")});
-  const Caller norte = *control.identify(join_key(kFirstId, kSecret)),
-               sur = *control.identify(join_key(kSecondId, kSecret));
+  const Caller norte = *control.identify(format_key(kFirstId, kSecret)),
+               sur = *control.identify(format_key(kSecondId, kSecret));
   const AdmissionResult first = control.admit(1s, norte, at_most_once_request("k"));
   REQUIRE(first.status == AdmissionStatus::admitted);
   control.record_attempt(first.ticket);
@@ -219,7 +219,7 @@
 
 TEST_CASE("Admission control: a missing, absurd or excessive usage figure is settled within bounds") {
   AdmissionControl control = make_door({make_key(kFirstId, "norte", {0, 1000, 0})});
-  const Caller norte = *control.identify(join_key(kFirstId, kSecret));
+  const Caller norte = *control.identify(format_key(kFirstId, kSecret));
   struct Case {
     std::optional<Tokens> used;
     std::int64_t left;
@@ -251,17 +251,17 @@
 TEST_CASE("Admission control: limits that change while a request runs refund what was charged and no more") {
   AdmissionControl control = make_door({make_key(kFirstId, "norte", {0, 1000, 0})});
   const AdmissionResult result =
-      control.admit(1s, *control.identify(join_key(kFirstId, kSecret)), at_most_once_request(""));
+      control.admit(1s, *control.identify(format_key(kFirstId, kSecret)), at_most_once_request(""));
   const Limits later{0, 2000, 0};
   control.keys(ApiKeySet({make_key(kFirstId, "norte", later)}));
   control.request_ended(1s, result.ticket, {});
   CHECK(control.limiter().limit_status(1s, kFirstId, later).remaining_tokens == 2000);
   // A request whose key has been revoked meanwhile ends normally.
   const AdmissionResult gone =
-      control.admit(1s, *control.identify(join_key(kFirstId, kSecret)), at_most_once_request("k"));
+      control.admit(1s, *control.identify(format_key(kFirstId, kSecret)), at_most_once_request("k"));
   control.record_attempt(gone.ticket);
   control.keys(ApiKeySet({make_key(kSecondId, "sur")}));
-  CHECK_FALSE(control.identify(join_key(kFirstId, kSecret)).has_value());
+  CHECK_FALSE(control.identify(format_key(kFirstId, kSecret)).has_value());
   control.request_ended(2s, gone.ticket, {true, 10, 100, RecordedAnswer{200, "", "x", false}});
   CHECK(control.limiter().open(kFirstId) == 0);
 }
@@ -290,7 +290,7 @@
         const std::string& id = *rc::gen::arbitrary<bool>() ? kFirstId : kSecondId;
         const std::string name(1, char('a' + *rc::gen::inRange(0, 6)));
         const AdmissionResult result =
-            control.admit(now, *control.identify(join_key(id, kSecret)), at_most_once_request(name));
+            control.admit(now, *control.identify(format_key(id, kSecret)), at_most_once_request(name));
         const std::string whole = id + name;
         if (result.status == AdmissionStatus::admitted) {
           RC_ASSERT(!may_have_run[whole]);
