--- a/src/admission/ledger.cpp
+++ b/src/admission/ledger.cpp
@@ -56,7 +56,7 @@
   Entry& entry = it->second;
   --entry.open;
   entry.may_have_run |= may_have_run;
-  if (answer && answer->body.size() > limits_.one_answer) answer.reset();
+  if (answer && answer->body.size() > limits_.max_answer_bytes) answer.reset();
   if (may_have_run && !answer) entry.outcome_unknown = true;
   if (may_have_run && answer) {
     if (entry.answer) drop_answer(entry);
--- a/src/admission/ledger.hpp
+++ b/src/admission/ledger.hpp
@@ -21,7 +21,7 @@
   std::size_t entries = 20'000;                // 0: no ledger
   std::size_t answer_bytes = 8 * 1024 * 1024;  // total of all recorded answers
   // Limit for one answer; a larger one is not kept, but its request stays protected.
-  std::size_t one_answer = 256 * 1024;
+  std::size_t max_answer_bytes = 256 * 1024;
   Duration age{3'600'000'000};  // how long an entry is kept after its request ended, in microseconds
 };
 
--- a/src/config/appliance.cpp
+++ b/src/config/appliance.cpp
@@ -158,7 +158,7 @@
   if (answer_mib > double(a.memory_mb) / 8)
     ledger.fail("answer_mib", "must not exceed an eighth of 'memory_mb'");
   a.ledger.answer_bytes = std::size_t(answer_mib * kMib);
-  a.ledger.one_answer = std::min(a.ledger.one_answer, a.ledger.answer_bytes);
+  a.ledger.max_answer_bytes = std::min(a.ledger.max_answer_bytes, a.ledger.answer_bytes);
   ledger.reject_unknown_keys();
   if (f.has("coordination")) a.coordination = read_coordination(f.section("coordination"), a.name);
   if (f.has("cors_origins")) a.cors_origins = f.texts("cors_origins");
--- a/src/net/openai/admitted.cpp
+++ b/src/net/openai/admitted.cpp
@@ -111,7 +111,7 @@
 }
 
 bool RequestAccount::fits_ledger(std::size_t bytes) const {
-  return ticket_.ledger_entry != 0 && bytes <= admission_control_.ledger().limits().one_answer;
+  return ticket_.ledger_entry != 0 && bytes <= admission_control_.ledger().limits().max_answer_bytes;
 }
 
 void RequestAccount::record_sent(std::string_view bytes) {
