--- a/bench/silence_bench.cpp
+++ b/bench/silence_bench.cpp
@@ -79,7 +79,7 @@
         if (!adaptive) {
           lost = silent >= fixed;
         } else if (now >= s.judged_at + (s.judged_at == s.last ? silence.limit(id) : Duration{0})) {
-          const Duration more = silence.judge(id, now, silent);
+          const Duration more = silence.time_until_lost(id, now, silent);
           lost = more == 0s;
           s.judged_at = now + std::max(more, kStep);
         }
--- a/src/core/stream.cpp
+++ b/src/core/stream.cpp
@@ -50,7 +50,7 @@
   } else if (std::holds_alternative<StreamStalled>(event)) {
     if (watches_silence(r)) {
       const Duration silent = scheduler_.now() - *r.last_event;
-      const Duration more = silence_.judge(r.instance, scheduler_.now(), silent);
+      const Duration more = silence_.time_until_lost(r.instance, scheduler_.now(), silent);
       if (more > 0us) {
         start_stall_timer(r, more);
         return std::nullopt;
--- a/src/recovery/silence.cpp
+++ b/src/recovery/silence.cpp
@@ -57,7 +57,7 @@
   return it != instances_.end() ? limit(it->second) : kMaxSilence;
 }
 
-Duration SilenceDetector::judge(EngineId instance, Time now, Duration silent) const {
+Duration SilenceDetector::time_until_lost(EngineId instance, Time now, Duration silent) const {
   if (silent >= kMaxSilence) return Duration{0};
   const auto it = instances_.find(instance);
   if (it == instances_.end()) return kMaxSilence - silent;
--- a/src/recovery/silence.hpp
+++ b/src/recovery/silence.hpp
@@ -29,11 +29,11 @@
   // A stream of the instance has delivered an event, `gap` after its previous one.
   void event(EngineId instance, Time now, Duration gap);
 
-  // How long a stream of the instance may be silent before judge() has to be called.
+  // How long a stream of the instance may be silent before time_until_lost() has to be called.
   [[nodiscard]] Duration limit(EngineId instance) const;
   // A stream of the instance has been silent for `silent`. Returns zero if the instance is to be considered
   // lost, else how much longer to wait.
-  [[nodiscard]] Duration judge(EngineId instance, Time now, Duration silent) const;
+  [[nodiscard]] Duration time_until_lost(EngineId instance, Time now, Duration silent) const;
 
  private:
   struct Instance {
--- a/tests/recovery_test.cpp
+++ b/tests/recovery_test.cpp
@@ -234,10 +234,10 @@
   run(silence, 1, 10, 40ms, now, 2s);
   CHECK(silence.limit(1) == kMinSilence);
   // All ten streams silent indicates the instance; one silent stream among active ones does not.
-  CHECK(silence.judge(1, now + 600ms, 600ms) == 0s);
+  CHECK(silence.time_until_lost(1, now + 600ms, 600ms) == 0s);
   silence.event(1, now + 590ms, 40ms);
-  CHECK(silence.judge(1, now + 600ms, 600ms) > 0s);
-  CHECK(silence.judge(1, now + 4s, 4s) == 0s);
+  CHECK(silence.time_until_lost(1, now + 600ms, 600ms) > 0s);
+  CHECK(silence.time_until_lost(1, now + 4s, 4s) == 0s);
 }
 
 TEST_CASE("Silence: an instance whose batches stall is allowed the duration of its stalls") {
@@ -261,10 +261,10 @@
     run(silence, instance, 1, 40ms, since, 4s);
   }
   now += 4s;
-  CHECK(silence.judge(1, now + 1s, 1s) == 3s);
+  CHECK(silence.time_until_lost(1, now + 1s, 1s) == 3s);
   silence.event(2, now + 990ms, 40ms);
   silence.event(3, now + 990ms, 40ms);
-  CHECK(silence.judge(1, now + 1s, 1s) == 0s);
+  CHECK(silence.time_until_lost(1, now + 1s, 1s) == 0s);
 }
 
 TEST_CASE("Silence: for any gaps the limit stays between kMinSilence and kMaxSilence") {
@@ -280,7 +280,7 @@
       RC_ASSERT(silence.limit(1) <= kMaxSilence);
     }
     const Duration silent(*rc::gen::inRange<std::int64_t>(0, 10'000'000));
-    const Duration more = silence.judge(1, now + silent, silent);
+    const Duration more = silence.time_until_lost(1, now + silent, silent);
     RC_ASSERT(more >= 0s);
     RC_ASSERT(silent + more <= std::max(silent, kMaxSilence));
   }));
