--- a/bench/silence_bench.cpp
+++ b/bench/silence_bench.cpp
@@ -31,7 +31,7 @@
 Result simulate(double hours, bool adaptive, Limit fixed) {
   std::mt19937_64 random(20261201);
   const auto uniform = [&random] { return double(random() >> 11) * 0x1p-53; };
-  SilenceDetector silence;
+  FailureDetector silence;
   struct Stream {
     Time last{0}, judged_at{0}, paused_until{0};
   };
--- a/src/core/conductor.hpp
+++ b/src/core/conductor.hpp
@@ -216,7 +216,7 @@
   RequestId last_id_ = 0;
   std::map<RequestId, std::unique_ptr<Request>> requests_;
   std::map<RequestId, RequestId> aliases_;  // later module ids of requests that were resumed
-  recovery::SilenceDetector silence_;
+  recovery::FailureDetector failure_detector_;
   HeldCaches held_;
   bool abandoned_ = false;  // see abandon
   std::vector<eiderarch::Event> events_;
--- a/src/core/request_lifecycle.cpp
+++ b/src/core/request_lifecycle.cpp
@@ -197,7 +197,7 @@
     r.closing_until = scheduler_.now() + kCloseDelivery;
   }
   r.attempt.reset();
-  if (std::exchange(r.rate_tracked, false)) silence_.ended(r.instance);
+  if (std::exchange(r.rate_tracked, false)) failure_detector_.ended(r.instance);
 }
 
 void Conductor::record_attempt(Request& r, const CurrentAttempt& attempt) {
--- a/src/core/stream.cpp
+++ b/src/core/stream.cpp
@@ -24,7 +24,7 @@
   r.last_event.reset();
   if (!r.resumed) r.reply->begin();
   r.rate_tracked = r.reply->may_continue_answer();
-  if (r.rate_tracked) silence_.began(attempt.command.engine);
+  if (r.rate_tracked) failure_detector_.began(attempt.command.engine);
   held_.forget(r.id);
   post(eiderarch::StreamStarted{r.module_id, attempt.number, attempt.command.engine,
                                 scheduler_.now() - attempt.sent});
@@ -50,7 +50,7 @@
   } else if (std::holds_alternative<StreamStalled>(event)) {
     if (watches_silence(r)) {
       const Duration silent = scheduler_.now() - *r.last_event;
-      const Duration more = silence_.time_until_lost(r.instance, scheduler_.now(), silent);
+      const Duration more = failure_detector_.time_until_lost(r.instance, scheduler_.now(), silent);
       if (more > 0us) {
         start_stall_timer(r, more);
         return std::nullopt;
@@ -118,9 +118,9 @@
 
 void Conductor::record_stream_event(Request& r) {
   const Time now = scheduler_.now();
-  if (r.rate_tracked && r.last_event) silence_.event(r.instance, now, now - *r.last_event);
+  if (r.rate_tracked && r.last_event) failure_detector_.event(r.instance, now, now - *r.last_event);
   r.last_event = now;
-  start_stall_timer(r, watches_silence(r) ? silence_.limit(r.instance) : settings_.stall_limit);
+  start_stall_timer(r, watches_silence(r) ? failure_detector_.limit(r.instance) : settings_.stall_limit);
 }
 
 }  // namespace bankmux::core
--- a/src/recovery/silence.cpp
+++ b/src/recovery/silence.cpp
@@ -22,12 +22,12 @@
 
 }  // namespace
 
-void SilenceDetector::ended(EngineId instance) {
+void FailureDetector::ended(EngineId instance) {
   Instance& state = instances_[instance];
   state.streams = std::max(state.streams - 1, 0);
 }
 
-void SilenceDetector::event(EngineId instance, Time now, Duration gap) {
+void FailureDetector::event(EngineId instance, Time now, Duration gap) {
   Instance& state = instances_[instance];
   state.last = std::max(state.last, now);
   const double gap_s = std::max(to_seconds(gap), kShortestGapS);
@@ -44,7 +44,7 @@
   }
 }
 
-Duration SilenceDetector::limit(const Instance& state) {
+Duration FailureDetector::limit(const Instance& state) {
   if (state.gaps < kMinGaps) return kMaxSilence;
   const double statistical_limit =
       std::exp(std::min(state.mean + kDeviations * std::sqrt(state.variance), 10.0));
@@ -52,12 +52,12 @@
   return std::clamp(to_duration(std::max(statistical_limit, longest_gap_limit)), kMinSilence, kMaxSilence);
 }
 
-Duration SilenceDetector::limit(EngineId instance) const {
+Duration FailureDetector::limit(EngineId instance) const {
   const auto it = instances_.find(instance);
   return it != instances_.end() ? limit(it->second) : kMaxSilence;
 }
 
-Duration SilenceDetector::time_until_lost(EngineId instance, Time now, Duration silent) const {
+Duration FailureDetector::time_until_lost(EngineId instance, Time now, Duration silent) const {
   if (silent >= kMaxSilence) return Duration{0};
   const auto it = instances_.find(instance);
   if (it == instances_.end()) return kMaxSilence - silent;
--- a/src/recovery/silence.hpp
+++ b/src/recovery/silence.hpp
@@ -21,7 +21,7 @@
 // Long enough for a stall of one batch; suspecting an instance sooner gains little.
 constexpr Duration kMinSilence = std::chrono::milliseconds(500);
 
-class SilenceDetector {
+class FailureDetector {
  public:
   // A stream has begun at the instance, or ended there.
   void began(EngineId instance) { ++instances_[instance].streams; }
--- a/tests/recovery_test.cpp
+++ b/tests/recovery_test.cpp
@@ -217,70 +217,70 @@
 using namespace std::chrono_literals;
 
 // Simulates streams of an instance, each with an event every `pace`, for the time `length`.
-void run(SilenceDetector& silence, eiderarch::EngineId instance, int streams, Duration pace, Time& now,
+void run(FailureDetector& detector, eiderarch::EngineId instance, int streams, Duration pace, Time& now,
          Duration length) {
   for (const Time end = now + length; now < end; now += pace) {
-    for (int i = 0; i < streams; ++i) silence.event(instance, now, pace);
+    for (int i = 0; i < streams; ++i) detector.event(instance, now, pace);
   }
 }
 
 }  // namespace
 
 TEST_CASE("Silence: an unknown instance gets the full time, and one with a steady pace is suspected early") {
-  SilenceDetector silence;
-  CHECK(silence.limit(1) == kMaxSilence);
+  FailureDetector detector;
+  CHECK(detector.limit(1) == kMaxSilence);
   Time now = 100s;
-  for (int i = 0; i < 10; ++i) silence.began(1);
-  run(silence, 1, 10, 40ms, now, 2s);
-  CHECK(silence.limit(1) == kMinSilence);
+  for (int i = 0; i < 10; ++i) detector.began(1);
+  run(detector, 1, 10, 40ms, now, 2s);
+  CHECK(detector.limit(1) == kMinSilence);
   // All ten streams silent indicates the instance; one silent stream among active ones does not.
-  CHECK(silence.time_until_lost(1, now + 600ms, 600ms) == 0s);
-  silence.event(1, now + 590ms, 40ms);
-  CHECK(silence.time_until_lost(1, now + 600ms, 600ms) > 0s);
-  CHECK(silence.time_until_lost(1, now + 4s, 4s) == 0s);
+  CHECK(detector.time_until_lost(1, now + 600ms, 600ms) == 0s);
+  detector.event(1, now + 590ms, 40ms);
+  CHECK(detector.time_until_lost(1, now + 600ms, 600ms) > 0s);
+  CHECK(detector.time_until_lost(1, now + 4s, 4s) == 0s);
 }
 
 TEST_CASE("Silence: an instance whose batches stall is allowed the duration of its stalls") {
-  SilenceDetector silence;
+  FailureDetector detector;
   Time now = 100s;
-  silence.began(1);
+  detector.began(1);
   for (int i = 0; i < 20; ++i) {
-    run(silence, 1, 1, 40ms, now, 1s);
+    run(detector, 1, 1, 40ms, now, 1s);
     now += 800ms;
-    silence.event(1, now, 800ms);
+    detector.event(1, now, 800ms);
   }
-  CHECK(silence.limit(1) >= 1600ms);
+  CHECK(detector.limit(1) >= 1600ms);
 }
 
 TEST_CASE("Silence: no instance is lost early while the whole fleet is silent or this process was blocked") {
-  SilenceDetector silence;
+  FailureDetector detector;
   Time now = 100s;
   for (const eiderarch::EngineId instance : {1, 2, 3}) {
-    silence.began(instance);
+    detector.began(instance);
     Time since = now;
-    run(silence, instance, 1, 40ms, since, 4s);
+    run(detector, instance, 1, 40ms, since, 4s);
   }
   now += 4s;
-  CHECK(silence.time_until_lost(1, now + 1s, 1s) == 3s);
-  silence.event(2, now + 990ms, 40ms);
-  silence.event(3, now + 990ms, 40ms);
-  CHECK(silence.time_until_lost(1, now + 1s, 1s) == 0s);
+  CHECK(detector.time_until_lost(1, now + 1s, 1s) == 3s);
+  detector.event(2, now + 990ms, 40ms);
+  detector.event(3, now + 990ms, 40ms);
+  CHECK(detector.time_until_lost(1, now + 1s, 1s) == 0s);
 }
 
 TEST_CASE("Silence: for any gaps the limit stays between kMinSilence and kMaxSilence") {
   CHECK(rc::check([] {
-    SilenceDetector silence;
+    FailureDetector detector;
     Time now = 1s;
-    silence.began(1);
+    detector.began(1);
     for (int i = 0; i < 120; ++i) {
       const Duration gap(*rc::gen::inRange<std::int64_t>(0, 30'000'000));
       now += gap;
-      silence.event(1, now, gap);
-      RC_ASSERT(silence.limit(1) >= kMinSilence);
-      RC_ASSERT(silence.limit(1) <= kMaxSilence);
+      detector.event(1, now, gap);
+      RC_ASSERT(detector.limit(1) >= kMinSilence);
+      RC_ASSERT(detector.limit(1) <= kMaxSilence);
     }
     const Duration silent(*rc::gen::inRange<std::int64_t>(0, 10'000'000));
-    const Duration more = silence.time_until_lost(1, now + silent, silent);
+    const Duration more = detector.time_until_lost(1, now + silent, silent);
     RC_ASSERT(more >= 0s);
     RC_ASSERT(silent + more <= std::max(silent, kMaxSilence));
   }));
