--- a/src/net/openai/facts.cpp
+++ b/src/net/openai/facts.cpp
@@ -156,10 +156,10 @@
 // Requires the prompt's length.
 void set_time_limit(RequestFacts& facts, const config::Appliance& appliance, Tokens max_output) {
   const eiderarch::RequestClass& cls = appliance.module.classes[facts.arrived.request_class];
-  facts.patience = cls.deadline + 2 * cls.aim_per_kilotoken * facts.arrived.prompt_tokens / 1000;
+  facts.timeout = cls.deadline + 2 * cls.aim_per_kilotoken * facts.arrived.prompt_tokens / 1000;
   // An answer that is not streamed arrives with its last token, so twice the class's time per token is
   // allowed for all of its tokens.
-  if (!facts.streamed) facts.patience += 2 * cls.token_aim * max_output;
+  if (!facts.streamed) facts.timeout += 2 * cls.token_aim * max_output;
 }
 
 eiderarch::Key session_of(const json& body, const std::string& session_start) {
--- a/src/net/openai/facts.hpp
+++ b/src/net/openai/facts.hpp
@@ -11,7 +11,7 @@
 
 struct RequestFacts {
   eiderarch::RequestArrived arrived;  // id and deadline are not set
-  core::Duration patience{0};         // until the first token, or until the complete answer if not streamed
+  core::Duration timeout{0};          // until the first token, or until the complete answer if not streamed
   // Upper bound on the tokens of the answer: the request's limit, or without one the most that published
   // models generate.
   eiderarch::Tokens max_answer_tokens = 0;
--- a/tests/wire_parsers_test.cpp
+++ b/tests/wire_parsers_test.cpp
@@ -138,9 +138,9 @@
   CHECK(chat.arrived.prefix_tokens == 6);   // 2 of the text and 4 for the message
   CHECK(chat.arrived.prompt_tokens == 11);  // and 5 for the user's message
   CHECK(chat.arrived.max_output == 100);
-  CHECK(chat.patience.count() / 1000 == 12'000);
+  CHECK(chat.timeout.count() / 1000 == 12'000);
   // The client of a non-streamed answer waits for its last token.
-  CHECK(read(first, R"(,"max_tokens":100)").patience.count() / 1000 == 28'000);
+  CHECK(read(first, R"(,"max_tokens":100)").timeout.count() / 1000 == 28'000);
   // A later turn belongs to the same session; a different first user message starts another.
   const auto next = read(first + R"(,{"role":"assistant","content":"x"},{"role":"user","content":"y"})");
   CHECK(next.arrived.session == chat.arrived.session);
