--- a/bench/admission_bench.cpp
+++ b/bench/admission_bench.cpp
@@ -63,7 +63,7 @@
   for (auto _ : state) {
     now += 100us;
     const std::string& name = all[random() % all.size()];
-    if (limiter.take(now, name, kLimits, 50).limited == Limited::none)
+    if (limiter.take(now, name, kLimits, 50).limited == ExceededLimit::none)
       limiter.settle(now, name, kLimits, 50, 40, 100);
   }
 }
--- a/src/admission/door.cpp
+++ b/src/admission/door.cpp
@@ -111,12 +111,13 @@
     }
     const Decision decision = limiter_.take(now, ticket.key_id, ticket.limits, ticket.reserved);
     result.limit_status = decision.limit_status;
-    if (decision.limited != Limited::none) {
+    if (decision.limited != ExceededLimit::none) {
       release_entry();
       result.limited = decision.limited;
-      const bool too_many_tenants = decision.limited == Limited::too_many_tenants;
+      const bool too_many_tenants = decision.limited == ExceededLimit::too_many_tenants;
       return reject(too_many_tenants ? AdmissionStatus::too_many_tenants : AdmissionStatus::limited,
-                    tenant.limited, decision.limited == Limited::open ? kRetryWhileOpen : decision.wait);
+                    tenant.limited,
+                    decision.limited == ExceededLimit::open ? kRetryWhileOpen : decision.wait);
     }
   }
   if (tenant.open++ == 0) ++active_tenants_;
--- a/src/admission/door.hpp
+++ b/src/admission/door.hpp
@@ -60,7 +60,7 @@
 struct AdmissionResult {
   AdmissionStatus status = AdmissionStatus::admitted;
   Duration wait{0};
-  Limited limited = Limited::none;
+  ExceededLimit limited = ExceededLimit::none;
   LimitStatus limit_status;
   Ticket ticket;
   const RecordedAnswer* answer = nullptr;  // only with `replay`; valid until the next call
--- a/src/admission/limiter.cpp
+++ b/src/admission/limiter.cpp
@@ -53,19 +53,19 @@
   reserved = std::clamp<Tokens>(reserved, 0, kMaxTokens);
   const auto known = tenants_.find(tenant);
   const Tenant before = known != tenants_.end() ? known->second : Tenant{};
-  const auto reject = [&](Limited why, Duration wait) {
+  const auto reject = [&](ExceededLimit why, Duration wait) {
     return Decision{why, wait, limit_status(now, tenant, limits)};
   };
-  if (limits.open > 0 && before.open >= limits.open) return reject(Limited::open, Duration{0});
+  if (limits.open > 0 && before.open >= limits.open) return reject(ExceededLimit::open, Duration{0});
   if (limits.requests_per_minute > 0) {
     const Duration wait = wait_for(now, before.requests, time_cost(1, limits.requests_per_minute));
-    if (wait > Duration{0}) return reject(Limited::requests, wait);
+    if (wait > Duration{0}) return reject(ExceededLimit::requests, wait);
   }
   if (limits.tokens_per_minute > 0) {
     const Duration wait = wait_for(now, before.tokens, time_cost(reserved, limits.tokens_per_minute));
-    if (wait > Duration{0}) return reject(Limited::tokens, wait);
+    if (wait > Duration{0}) return reject(ExceededLimit::tokens, wait);
   }
-  if (known == tenants_.end() && !evict_idle(now)) return reject(Limited::too_many_tenants, kWindow);
+  if (known == tenants_.end() && !evict_idle(now)) return reject(ExceededLimit::too_many_tenants, kWindow);
   Tenant& entry = tenants_[tenant];
   if (limits.requests_per_minute > 0) {
     entry.requests = std::max(entry.requests, now) + time_cost(1, limits.requests_per_minute);
@@ -74,7 +74,7 @@
     entry.tokens = std::max(entry.tokens, now) + time_cost(reserved, limits.tokens_per_minute);
   }
   ++entry.open;
-  return {Limited::none, Duration{0}, limit_status(now, tenant, limits)};
+  return {ExceededLimit::none, Duration{0}, limit_status(now, tenant, limits)};
 }
 
 void Limiter::refund(const std::string& tenant, const Limits& limits, std::int64_t requests, Tokens tokens) {
--- a/src/admission/limiter.hpp
+++ b/src/admission/limiter.hpp
@@ -23,7 +23,7 @@
 };
 
 // The limit that a request exceeds; `too_many_tenants`: the limiter cannot track another tenant.
-enum class Limited { none, requests, tokens, open, too_many_tenants };
+enum class ExceededLimit { none, requests, tokens, open, too_many_tenants };
 
 // What is left of the limits and the time until the full allowance is available again, for response headers.
 struct LimitStatus {
@@ -32,7 +32,7 @@
 };
 
 struct Decision {
-  Limited limited = Limited::none;
+  ExceededLimit limited = ExceededLimit::none;
   Duration wait{0};  // until the same request would pass if no other came; 0 for `open`
   LimitStatus limit_status;
 };
--- a/src/net/openai/door_answers.cpp
+++ b/src/net/openai/door_answers.cpp
@@ -10,15 +10,15 @@
 namespace {
 
 using admission::AdmissionStatus;
-using admission::Limited;
+using admission::ExceededLimit;
 
 constexpr std::size_t kMaxKeyBytes = 255;
 
-const char* limit_message(Limited limited) {
+const char* limit_message(ExceededLimit limited) {
   switch (limited) {
-    case Limited::requests:
+    case ExceededLimit::requests:
       return "This key's requests a minute are spent; nothing was run.";
-    case Limited::tokens:
+    case ExceededLimit::tokens:
       return "This key's tokens a minute are spent; nothing was run.";
     default:
       return "This key has as many requests open as it may; nothing was run.";
@@ -31,7 +31,7 @@
   switch (result.status) {
     case AdmissionStatus::limited:
       return {429,
-              result.limited == Limited::tokens ? "tokens" : "requests",
+              result.limited == ExceededLimit::tokens ? "tokens" : "requests",
               "rate_limit_exceeded",
               limit_message(result.limited),
               true,
--- a/tests/admission_test.cpp
+++ b/tests/admission_test.cpp
@@ -17,25 +17,25 @@
   int passed = 0;
   // Bursts at the end of one minute and the beginning of the next: fixed windows would let 120 pass.
   for (const Time now : {Time(59'999ms), Time(60'001ms)}) {
-    for (int i = 0; i < 100; ++i) passed += limiter.take(now, "t", limits, 0).limited == Limited::none;
+    for (int i = 0; i < 100; ++i) passed += limiter.take(now, "t", limits, 0).limited == ExceededLimit::none;
   }
   CHECK(passed == 60);
   const Decision decision = limiter.take(60'001ms, "t", limits, 0);
-  CHECK(decision.limited == Limited::requests);
+  CHECK(decision.limited == ExceededLimit::requests);
   CHECK(decision.limit_status.remaining_requests == 0);
   // The reported wait is sufficient, and a shorter one is not.
-  CHECK(limiter.take(60'001ms + decision.wait - 1ms, "t", limits, 0).limited == Limited::requests);
-  CHECK(limiter.take(60'001ms + decision.wait, "t", limits, 0).limited == Limited::none);
+  CHECK(limiter.take(60'001ms + decision.wait - 1ms, "t", limits, 0).limited == ExceededLimit::requests);
+  CHECK(limiter.take(60'001ms + decision.wait, "t", limits, 0).limited == ExceededLimit::none);
 }
 
 TEST_CASE("Limiter: a request that never ran costs nothing, and absurd usage figures stay within range") {
   Limiter limiter;
   const Limits limits{0, 1000, 0};
-  CHECK(limiter.take(1s, "t", limits, 400).limited == Limited::none);
+  CHECK(limiter.take(1s, "t", limits, 400).limited == ExceededLimit::none);
   limiter.refund_request(1s, "t", limits, 400);
   CHECK(limiter.limit_status(1s, "t", limits).remaining_tokens == 1000);
   for (const Tokens used : {Tokens(-5), Tokens(1'000'000'000'000'000'000)}) {
-    CHECK(limiter.take(1s, "t", limits, 400).limited == Limited::none);
+    CHECK(limiter.take(1s, "t", limits, 400).limited == ExceededLimit::none);
     limiter.settle(1s, "t", limits, 400, used, 500);
     CHECK(limiter.limit_status(1s, "t", limits).remaining_tokens == (used < 0 ? 1000 : 500));
   }
@@ -45,10 +45,10 @@
 TEST_CASE("Limiter: a clock that goes backwards neither adds nor removes allowance") {
   Limiter limiter;
   const Limits limits{1, 0, 0};
-  CHECK(limiter.take(100s, "t", limits, 0).limited == Limited::none);
-  CHECK(limiter.take(1s, "t", limits, 0).limited == Limited::requests);
-  CHECK(limiter.take(159s, "t", limits, 0).limited == Limited::requests);
-  CHECK(limiter.take(160s, "t", limits, 0).limited == Limited::none);
+  CHECK(limiter.take(100s, "t", limits, 0).limited == ExceededLimit::none);
+  CHECK(limiter.take(1s, "t", limits, 0).limited == ExceededLimit::requests);
+  CHECK(limiter.take(159s, "t", limits, 0).limited == ExceededLimit::requests);
+  CHECK(limiter.take(160s, "t", limits, 0).limited == ExceededLimit::none);
 }
 
 TEST_CASE(
@@ -56,10 +56,10 @@
   Limiter limiter(100);
   const Limits limits{1, 0, 1};
   for (int i = 0; i < 100; ++i)
-    CHECK(limiter.take(1s, std::to_string(i), limits, 0).limited == Limited::none);
-  CHECK(limiter.take(1s, "new", limits, 0).limited == Limited::too_many_tenants);
+    CHECK(limiter.take(1s, std::to_string(i), limits, 0).limited == ExceededLimit::none);
+  CHECK(limiter.take(1s, "new", limits, 0).limited == ExceededLimit::too_many_tenants);
   for (int i = 0; i < 100; ++i) limiter.settle(1s, std::to_string(i), limits, 0, 0, 0);
-  CHECK(limiter.take(62s, "new", limits, 0).limited == Limited::none);
+  CHECK(limiter.take(62s, "new", limits, 0).limited == ExceededLimit::none);
   CHECK(limiter.tenants() == 1);
 }
 
@@ -69,13 +69,14 @@
   const auto name = [](int i) { return "tenant " + std::to_string(i); };
   for (int round = 0; round < 3; ++round) {
     int passed = 0;
-    for (int i = 0; i < 100'000; ++i) passed += limiter.take(1s, name(i), limits, 0).limited == Limited::none;
+    for (int i = 0; i < 100'000; ++i)
+      passed += limiter.take(1s, name(i), limits, 0).limited == ExceededLimit::none;
     CHECK(passed == (round < 2 ? 100'000 : 0));
   }
   int turned_away = 0;  // without a sweep of the table for each
   for (int i = 0; i < 100'000; ++i)
     turned_away +=
-        limiter.take(1s, "new " + std::to_string(i), limits, 0).limited == Limited::too_many_tenants;
+        limiter.take(1s, "new " + std::to_string(i), limits, 0).limited == ExceededLimit::too_many_tenants;
   CHECK(turned_away == 100'000);
   CHECK(limiter.tenants() == 100'000);
 }
@@ -91,8 +92,8 @@
       const Tokens tokens = *rc::gen::inRange<Tokens>(0, 3000);
       if (*rc::gen::arbitrary<bool>() || open.empty()) {
         const Decision decision = limiter.take(now, "t", limits, tokens);
-        if (decision.limited == Limited::none) open.push_back(tokens);
-        if (decision.limited == Limited::open) RC_ASSERT(open.size() == 5U);
+        if (decision.limited == ExceededLimit::none) open.push_back(tokens);
+        if (decision.limited == ExceededLimit::open) RC_ASSERT(open.size() == 5U);
       } else {
         limiter.refund_request(now, "t", limits, open.back());
         open.pop_back();
--- a/tests/door_test.cpp
+++ b/tests/door_test.cpp
@@ -134,13 +134,13 @@
   CHECK(first.status == AdmissionStatus::admitted);
   const AdmissionResult tokens = control.admit(1s, norte, request);
   CHECK(tokens.status == AdmissionStatus::limited);
-  CHECK(tokens.limited == Limited::tokens);
+  CHECK(tokens.limited == ExceededLimit::tokens);
   CHECK(tokens.wait > 0s);
   CHECK(tokens.limit_status.remaining_tokens == 400);
   request.reserved_tokens = 10;
   CHECK(control.admit(1s, norte, request).status == AdmissionStatus::admitted);
   const AdmissionResult requests = control.admit(1s, norte, request);
-  CHECK(requests.limited == Limited::requests);
+  CHECK(requests.limited == ExceededLimit::requests);
   CHECK(control.admit(1s, sur, request).status == AdmissionStatus::admitted);
   // The first request never ran, so its request and its tokens are refunded.
   control.request_ended(1s, first.ticket, {});
