--- a/src/app/serve.cpp
+++ b/src/app/serve.cpp
@@ -12,7 +12,7 @@
 #include "app/fleet_work.hpp"
 #include "app/operations.hpp"
 #include "app/request_log.hpp"
-#include "app/succession.hpp"
+#include "app/stream_handover.hpp"
 #include "app/wind_down.hpp"
 #include "core/conductor.hpp"
 #include "log/log.hpp"
--- a/src/app/succession.cpp
+++ b/src/app/stream_handover.cpp
@@ -1,4 +1,4 @@
-#include "app/succession.hpp"
+#include "app/stream_handover.hpp"
 
 #include <chrono>
 #include <stdexcept>
