--- a/src/app/fleet_work.cpp
+++ b/src/app/fleet_coordination.cpp
@@ -1,4 +1,4 @@
-#include "app/fleet_work.hpp"
+#include "app/fleet_coordination.hpp"
 
 #include <chrono>
 #include <random>
--- a/src/app/serve.cpp
+++ b/src/app/serve.cpp
@@ -9,7 +9,7 @@
 
 #include "admission/door.hpp"
 #include "app/cpu_watch.hpp"
-#include "app/fleet_work.hpp"
+#include "app/fleet_coordination.hpp"
 #include "app/operations.hpp"
 #include "app/request_log.hpp"
 #include "app/stream_handover.hpp"
