--- a/src/app/serve.cpp
+++ b/src/app/serve.cpp
@@ -218,7 +218,7 @@
   conductor->observe(request_log(appliance.classes));
   net::OperatorPage page(*conductor, loop, monitor, admission_control, appliance);
   net::OpenAiFront front(*conductor, loop, admission_control, appliance,
-                         [&] { return page.standing().state == net::Standing::State::up; });
+                         [&] { return page.health_status().state == net::HealthStatus::State::up; });
   net::HttpServer server(
       loop, appliance.listen,
       [&](std::unique_ptr<net::IncomingRequest> incoming) { front.handle(std::move(incoming)); },
@@ -234,7 +234,7 @@
   }
   std::optional<net::AgentCheck> agent;
   if (!appliance.agent_listen.empty()) {
-    agent.emplace(loop, appliance.agent_listen, [&] { return page.standing(); });
+    agent.emplace(loop, appliance.agent_listen, [&] { return page.health_status(); });
   }
   const auto reload = [&] {
     reload_or_keep([&] {
--- a/src/net/appliance/agent_check.cpp
+++ b/src/net/appliance/agent_check.cpp
@@ -19,22 +19,22 @@
 
 }  // namespace
 
-std::string agent_line(const Standing& standing) {
-  switch (standing.state) {
-    case Standing::State::drain:
+std::string agent_line(const HealthStatus& health_status) {
+  switch (health_status.state) {
+    case HealthStatus::State::drain:
       return "drain\n";
-    case Standing::State::down:
+    case HealthStatus::State::down:
       return "down\n";
-    case Standing::State::up:
+    case HealthStatus::State::up:
       break;
   }
   // The balancer would treat a weight of 0 as a drain.
-  return "up " + std::to_string(std::clamp(standing.weight, 1, 100)) + "%\n";
+  return "up " + std::to_string(std::clamp(health_status.weight, 1, 100)) + "%\n";
 }
 
-AgentCheck::AgentCheck(Loop& loop, const std::string& address, std::function<Standing()> standing)
+AgentCheck::AgentCheck(Loop& loop, const std::string& address, std::function<HealthStatus()> health_status)
     : loop_(loop),
-      standing_(std::move(standing)),
+      health_status_(std::move(health_status)),
       listener_(loop.listen(
           address,
           [](evconnlistener*, evutil_socket_t socket, sockaddr*, int, void* self) {
@@ -68,7 +68,7 @@
     return;
   }
   connections_.emplace(connection, std::move(owner));
-  const std::string line = agent_line(standing_());
+  const std::string line = agent_line(health_status_());
   // The balancer's input (its agent-send text) is read and ignored: closing the connection with unread input
   // would reset it, and the line might be lost.
   bufferevent_setcb(
--- a/src/net/appliance/operator_page.cpp
+++ b/src/net/appliance/operator_page.cpp
@@ -65,19 +65,19 @@
       appliance_(appliance),
       started_(scheduler.now()) {}
 
-Standing OperatorPage::standing() const {
+HealthStatus OperatorPage::health_status() const {
   const std::size_t serving = monitor_.serving_count();
-  if (serving == 0) return {Standing::State::down, 0};
-  if (drained_by_operator_ || shutting_down_) return {Standing::State::drain, 0};
+  if (serving == 0) return {HealthStatus::State::down, 0};
+  if (drained_by_operator_ || shutting_down_) return {HealthStatus::State::drain, 0};
   const double serving_fraction = double(serving) / double(appliance_.boxes.size());
   const double free_fraction = 1.0 - double(conductor_.open_requests()) / double(conductor_.max_requests());
-  return {Standing::State::up, int(std::lround(100.0 * serving_fraction * free_fraction))};
+  return {HealthStatus::State::up, int(std::lround(100.0 * serving_fraction * free_fraction))};
 }
 
 std::string OperatorPage::status() const {
   const core::RequestCounters& counters = conductor_.figures();
-  const Standing standing = this->standing();
-  std::string line = agent_line(standing);
+  const HealthStatus health_status = this->health_status();
+  std::string line = agent_line(health_status);
   line.pop_back();
   json out = {{"name", appliance_.name},
               {"standing", line},
@@ -207,8 +207,8 @@
     return incoming->answer(200, {{"Content-Type", "application/json"}}, ledger(*key));
   }
   if (path == "/-/healthy" && method == "GET") {
-    const bool up = standing().state == Standing::State::up;
-    return incoming->answer(up ? 200 : 503, {}, agent_line(standing()));
+    const bool up = health_status().state == HealthStatus::State::up;
+    return incoming->answer(up ? 200 : 503, {}, agent_line(health_status()));
   }
   if (method == "POST" && (path == "/-/drain" || path == "/-/resume")) {
     drained_by_operator_ = path == "/-/drain";
--- a/src/net/appliance/operator_page.hpp
+++ b/src/net/appliance/operator_page.hpp
@@ -32,12 +32,12 @@
   void share_operations(SharedOperations callbacks) { shared_operations_ = std::move(callbacks); }
 
   void handle(std::unique_ptr<IncomingRequest> incoming);
-  // The process is shutting down, so that standing() is at best drain.
+  // The process is shutting down, so that health_status() is at best drain.
   void set_shutting_down() { shutting_down_ = true; }
   // The state for load balancers: down if no instance serves, drain if an operator drained the appliance or
   // it shuts down, otherwise up. The weight is the fraction of instances that serve times the free fraction
   // of the request table.
-  [[nodiscard]] Standing standing() const;
+  [[nodiscard]] HealthStatus health_status() const;
 
  private:
   [[nodiscard]] std::string status() const;
--- a/tests/integration/accept_failure_test.cpp
+++ b/tests/integration/accept_failure_test.cpp
@@ -151,7 +151,7 @@
 
 TEST_CASE("Accept: the agent check does not busy-loop without descriptors and answers once there are some") {
   net::Loop loop;
-  net::AgentCheck agent(loop, "127.0.0.1:0", [] { return net::Standing{}; });
+  net::AgentCheck agent(loop, "127.0.0.1:0", [] { return net::HealthStatus{}; });
   const auto balancer = TestConnection::to("127.0.0.1:" + std::to_string(agent.port()));
   const auto run = [&](core::Duration time) {
     const auto over = loop.at(loop.now() + time, [&] { loop.stop(); });
