--- a/src/app/wind_down.cpp
+++ b/src/app/wind_down.cpp
@@ -30,7 +30,7 @@
 
 }  // namespace
 
-void hold_reloads() { mask_reload_signal(SIG_BLOCK); }
+void block_reload_signal() { mask_reload_signal(SIG_BLOCK); }
 
 ProcessLifecycle::ProcessLifecycle(net::Loop& loop, core::Conductor& conductor,
                                    std::vector<net::HttpServer*> servers, core::Duration accept_time,
--- a/src/app/wind_down.hpp
+++ b/src/app/wind_down.hpp
@@ -15,7 +15,7 @@
 
 // Blocks SIGHUP until ProcessLifecycle::run. Call it before reading the configuration: the signal's default
 // action kills the process, and an early one means that the file is newer than what has been read.
-void hold_reloads();
+void block_reload_signal();
 
 class ProcessLifecycle {
  public:
