--- a/src/app/key_command.cpp
+++ b/src/app/key_command.cpp
@@ -38,11 +38,11 @@
 
 }  // namespace
 
-int key_command(const KeyOrder& order) {
+int key_command(const KeyCommandOptions& options) {
   if (sodium_init() < 0) throw std::runtime_error("libsodium cannot start");
-  std::vector<admission::Key> keys = load_keys(order.file);
-  if (order.action == "list") {
-    if (order.json) {
+  std::vector<admission::Key> keys = load_keys(options.file);
+  if (options.action == "list") {
+    if (options.json) {
       nlohmann::json list = config::keys_json(keys)["keys"];
       for (auto& entry : list) {
         entry.erase("salt");
@@ -60,33 +60,33 @@
     }
     return 0;
   }
-  if (order.action == "revoke") {
-    const auto erased = std::erase_if(keys, [&](const admission::Key& key) { return key.id == order.id; });
+  if (options.action == "revoke") {
+    const auto erased = std::erase_if(keys, [&](const admission::Key& key) { return key.id == options.id; });
     if (erased == 0) {
-      std::fprintf(stderr, "bankmux: no key '%s' in %s\n", order.id.c_str(), order.file.c_str());
+      std::fprintf(stderr, "bankmux: no key '%s' in %s\n", options.id.c_str(), options.file.c_str());
       return 1;
     }
-    config::write_keys(order.file, keys);
-    std::printf("revoked %s; a serving bankmux takes it on SIGHUP\n", order.id.c_str());
+    config::write_keys(options.file, keys);
+    std::printf("revoked %s; a serving bankmux takes it on SIGHUP\n", options.id.c_str());
     return 0;
   }
   admission::Key key;
   key.id = random_hex(admission::kIdBytes);
-  key.tenant = order.tenant;
-  key.models = order.models;
-  key.limits = {order.requests_per_minute, order.tokens_per_minute, order.open};
+  key.tenant = options.tenant;
+  key.models = options.models;
+  key.limits = {options.requests_per_minute, options.tokens_per_minute, options.open};
   randombytes_buf(key.salt.data(), key.salt.size());
   const std::string secret = random_hex(admission::kSecretBytes);
   key.hash = admission::hash_secret(key.salt, secret);
   keys.push_back(key);
   // Validates the new key like one read from a file, so that an invalid tenant name is rejected here.
   (void)config::parse_keys(config::keys_json(keys));
-  config::write_keys(order.file, keys);
+  config::write_keys(options.file, keys);
   std::printf("%s\n", admission::format_key(key.id, secret).c_str());
   std::fprintf(stderr,
                "key %s for tenant '%s' added to %s; it is shown this once. A serving bankmux takes it "
                "on SIGHUP.\n",
-               key.id.c_str(), key.tenant.c_str(), order.file.c_str());
+               key.id.c_str(), key.tenant.c_str(), options.file.c_str());
   return 0;
 }
 
--- a/src/app/key_command.hpp
+++ b/src/app/key_command.hpp
@@ -8,7 +8,7 @@
 
 namespace bankmux::app {
 
-struct KeyOrder {
+struct KeyCommandOptions {
   std::string action;  // add, list, revoke
   std::string file;
   std::string tenant;
@@ -21,6 +21,6 @@
 
 // Runs the command and returns its exit code. Throws config::BadConfig if the file or a new key is invalid,
 // and std::runtime_error if the file cannot be written.
-int key_command(const KeyOrder& order);
+int key_command(const KeyCommandOptions& options);
 
 }  // namespace bankmux::app
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -17,7 +17,7 @@
 const char* environment(const char* name) { return std::getenv(name); }
 
 // `bankmux key add|list|revoke`.
-CLI::App* key_commands(CLI::App& cli, bankmux::app::KeyOrder& order) {
+CLI::App* key_commands(CLI::App& cli, bankmux::app::KeyCommandOptions& options) {
   CLI::App* key = cli.add_subcommand("key", "Make, list and revoke the API keys of an appliance");
   key->require_subcommand(1);
   key->footer(
@@ -27,23 +27,23 @@
   CLI::App* list = key->add_subcommand("list", "List the keys, without their hashes");
   CLI::App* revoke = key->add_subcommand("revoke", "Take a key out of the file");
   for (CLI::App* action : {add, list, revoke}) {
-    action->add_option("--keys", order.file, "The file of keys, as the appliance file's 'keys' names it")
+    action->add_option("--keys", options.file, "The file of keys, as the appliance file's 'keys' names it")
         ->required();
-    action->callback([&order, name = action->get_name()] { order.action = name; });
+    action->callback([&options, name = action->get_name()] { options.action = name; });
   }
-  add->add_option("--tenant", order.tenant, "Whose use it counts as")->required();
-  add->add_option("--model", order.models, "A model that it may use, once for each; left out: all");
-  add->add_option("--requests-per-minute", order.requests_per_minute, "0: not limited")
+  add->add_option("--tenant", options.tenant, "Whose use it counts as")->required();
+  add->add_option("--model", options.models, "A model that it may use, once for each; left out: all");
+  add->add_option("--requests-per-minute", options.requests_per_minute, "0: not limited")
       ->check(CLI::NonNegativeNumber);
-  add->add_option("--tokens-per-minute", order.tokens_per_minute, "Of prompts and answers; 0: not limited")
+  add->add_option("--tokens-per-minute", options.tokens_per_minute, "Of prompts and answers; 0: not limited")
       ->check(CLI::NonNegativeNumber);
-  add->add_option("--open", order.open, "Requests open at once; 0: not limited")
+  add->add_option("--open", options.open, "Requests open at once; 0: not limited")
       ->check(CLI::NonNegativeNumber);
   add->footer(
       "Example: bankmux key add --keys keys.json --tenant flota-norte --requests-per-minute 600 --open 20");
-  list->add_flag("--json", order.json, "As JSON");
+  list->add_flag("--json", options.json, "As JSON");
   list->footer("Example: bankmux key list --keys keys.json --json");
-  revoke->add_option("ID", order.id, "As `bankmux key list` shows it: 12 digits")->required();
+  revoke->add_option("ID", options.id, "As `bankmux key list` shows it: 12 digits")->required();
   revoke->footer("Example: bankmux key revoke 3f9a01c2d4e5 --keys keys.json && kill -HUP $(pidof bankmux)");
   return key;
 }
@@ -57,7 +57,7 @@
   cli.require_subcommand(1);
   std::string appliance, connect = "127.0.0.1:8081", ledger_key, tenant;
   bool once = false, json = false;
-  app::KeyOrder key_order;
+  app::KeyCommandOptions key_options;
   const char* file_help =
       "Serve the OpenAI-style chat API as this file says, instead of the platform's protocol";
   CLI::App* serve = cli.add_subcommand("serve", "Serve as PROXY_* and the file that PROXY_CONFIG names say");
@@ -69,7 +69,7 @@
   CLI::App* console =
       cli.add_subcommand("console", "Show an appliance's fleet, load, requests, tenants and drains live");
   console->add_flag("--once", once, "Print one picture and end");
-  CLI::App* key = key_commands(cli, key_order);
+  CLI::App* key = key_commands(cli, key_options);
   CLI::App* tenants = cli.add_subcommand("tenants", "Show an appliance's tenants: use, limits, refusals");
   tenants->footer(
       "Example: bankmux tenants --connect 127.0.0.1:8081 --json\n"
@@ -100,7 +100,7 @@
       std::fwrite(text.data(), 1, text.size(), stdout);
     }
     if (console->parsed()) return app::console(connect, once);
-    if (key->parsed()) return app::key_command(key_order);
+    if (key->parsed()) return app::key_command(key_options);
     if (tenants->parsed()) return app::tenants_command(connect, json);
     if (duties->parsed()) return app::duties_command(connect, json);
     if (ledger->parsed()) return app::ledger_command(connect, ledger_key, tenant, json);
