--- a/src/config/appliance.cpp
+++ b/src/config/appliance.cpp
@@ -70,7 +70,7 @@
   keys_file = std::move(reloaded.keys_file);
   keys = std::move(reloaded.keys);
   check_every = reloaded.check_every;
-  seam = reloaded.seam;
+  continuation_wait = reloaded.continuation_wait;
   default_output = reloaded.default_output;
   if (reloaded.classes == classes) models = std::move(reloaded.models);
   return reloaded.startup_settings_hash == startup_settings_hash;
@@ -145,7 +145,7 @@
   if (a.max_body_bytes > std::size_t(double(a.memory_mb) * kMib) / 5) {
     f.fail("max_body_mib", "must not exceed a fifth of 'memory_mb'");
   }
-  a.seam = f.seconds("seam_s", a.seam);
+  a.continuation_wait = f.seconds("seam_s", a.continuation_wait);
   if (f.has("stream_keep_alive_s")) a.stream_keep_alive = f.seconds("stream_keep_alive_s", 15s);
   a.keys_file = f.text("keys", "");
   if (f.has("keys") && a.keys_file.empty())
--- a/src/config/appliance.hpp
+++ b/src/config/appliance.hpp
@@ -49,10 +49,11 @@
   core::Duration connect_timeout{250'000};
   core::Duration idle_timeout{15'000'000};
   std::size_t max_body_bytes = 8 * 1024 * 1024;  // bytes of one request's body, decompressed
-  core::Duration seam{3'000'000};       // how long a client waits while another instance continues its answer
-  core::Duration stream_keep_alive{0};  // interval of SSE comments before the first token; 0: none
-  std::vector<std::string> cors_origins;            // origins allowed by CORS; "*": all
-  std::string keys_file;                            // empty: requests need no API key
+  // How long a client waits while another instance continues its answer.
+  core::Duration continuation_wait{3'000'000};
+  core::Duration stream_keep_alive{0};    // interval of SSE comments before the first token; 0: none
+  std::vector<std::string> cors_origins;  // origins allowed by CORS; "*": all
+  std::string keys_file;                  // empty: requests need no API key
   std::optional<std::vector<admission::Key>> keys;  // contents of `keys_file`
   std::vector<std::string> tenants;                 // sorted names at start; the index is the module's number
   admission::LedgerLimits ledger;
@@ -65,9 +66,9 @@
   // The decision module's number of a tenant. Tenants added after the start all get the number
   // tenants.size(), which has no quota in the module.
   [[nodiscard]] std::uint32_t tenant_number(const std::string& name) const;
-  // Applies the reloadable settings of `reloaded`: instances, models, keys, check interval, seam and default
-  // output tokens. Returns false if other settings differ too, which take effect at the next start. If the
-  // classes differ, the old models stay, because models refer to their class by index.
+  // Applies the reloadable settings of `reloaded`: instances, models, keys, check interval, continuation wait
+  // and default output tokens. Returns false if other settings differ too, which take effect at the next
+  // start. If the classes differ, the old models stay, because models refer to their class by index.
   bool apply_reload(Appliance reloaded);
 };
 
--- a/src/net/openai/front.cpp
+++ b/src/net/openai/front.cpp
@@ -388,10 +388,14 @@
   }
   auto account = std::make_unique<openai::RequestAccount>(admission_control_, scheduler_, std::move(*ticket),
                                                           prepared.max_tokens, prepared.facts.streamed);
-  openai::ReplyOptions reply_options{
-      std::move(common),  prepared.facts.streamed,     std::move(prepared.formatter),
-      std::move(account), std::move(recovery),         original_request,
-      appliance_.seam,    appliance_.stream_keep_alive};
+  openai::ReplyOptions reply_options{std::move(common),
+                                     prepared.facts.streamed,
+                                     std::move(prepared.formatter),
+                                     std::move(account),
+                                     std::move(recovery),
+                                     original_request,
+                                     appliance_.continuation_wait,
+                                     appliance_.stream_keep_alive};
   const core::RequestId id = conductor_.accept(
       std::move(ask),
       std::make_unique<openai::Reply>(std::move(incoming), scheduler_, std::move(reply_options)));
