--- a/src/config/appliance.cpp
+++ b/src/config/appliance.cpp
@@ -71,7 +71,7 @@
   keys = std::move(reloaded.keys);
   check_every = reloaded.check_every;
   continuation_wait = reloaded.continuation_wait;
-  default_output = reloaded.default_output;
+  default_output_tokens = reloaded.default_output_tokens;
   if (reloaded.classes == classes) models = std::move(reloaded.models);
   return reloaded.startup_settings_hash == startup_settings_hash;
 }
@@ -133,7 +133,7 @@
   a.listen = f.address("listen");
   if (f.has("operator_listen")) a.operator_listen = f.address("operator_listen");
   if (f.has("agent_listen")) a.agent_listen = f.address("agent_listen");
-  a.default_output = eiderarch::Tokens(f.count("default_output_tokens", 800, 1, 1'000'000));
+  a.default_output_tokens = eiderarch::Tokens(f.count("default_output_tokens", 800, 1, 1'000'000));
   a.check_every = f.seconds("check_every_s", a.check_every);
   a.connect_timeout = f.seconds("connect_timeout_s", a.connect_timeout);
   a.idle_timeout = f.seconds("idle_timeout_s", a.idle_timeout);
--- a/src/config/appliance.hpp
+++ b/src/config/appliance.hpp
@@ -44,8 +44,8 @@
   std::vector<std::string> classes;  // names, in the order of `module.classes`
   std::vector<Model> models;
   std::vector<Instance> boxes;
-  eiderarch::Tokens default_output = 800;  // assumed output tokens of a request without a limit
-  core::Duration check_every{2'000'000};   // interval between health checks of an instance
+  eiderarch::Tokens default_output_tokens = 800;  // assumed output tokens of a request without a limit
+  core::Duration check_every{2'000'000};          // interval between health checks of an instance
   core::Duration connect_timeout{250'000};
   core::Duration idle_timeout{15'000'000};
   std::size_t max_body_bytes = 8 * 1024 * 1024;  // bytes of one request's body, decompressed
--- a/src/net/openai/facts.cpp
+++ b/src/net/openai/facts.cpp
@@ -184,7 +184,7 @@
   check_messages(messages);
   check_stream_options(body);
   const Tokens max_output =
-      count_in(body, "max_completion_tokens", count_in(body, "max_tokens", appliance.default_output));
+      count_in(body, "max_completion_tokens", count_in(body, "max_tokens", appliance.default_output_tokens));
   RequestFacts facts = answer_facts(body, appliance, max_output);
   std::string shared_prefix;  // the text that other conversations may share
   std::string session_start;  // up to the first user message; distinguishes conversations
@@ -219,7 +219,7 @@
 
 RequestFacts completion_facts(const json& body, const config::Appliance& appliance) {
   check_stream_options(body);
-  const Tokens max_output = count_in(body, "max_tokens", appliance.default_output);
+  const Tokens max_output = count_in(body, "max_tokens", appliance.default_output_tokens);
   RequestFacts facts = answer_facts(body, appliance, max_output);
   const json& prompt = body["prompt"];
   std::string text;
