--- a/src/config/appliance.cpp
+++ b/src/config/appliance.cpp
@@ -76,7 +76,7 @@
   return reloaded.startup_settings_hash == startup_settings_hash;
 }
 
-std::uint32_t Appliance::tenant_number(const std::string& name) const {
+std::uint32_t Appliance::tenant_index(const std::string& name) const {
   const auto it = std::ranges::lower_bound(tenants, name);
   return std::uint32_t((it != tenants.end() && *it == name ? it : tenants.end()) - tenants.begin());
 }
--- a/src/config/appliance.hpp
+++ b/src/config/appliance.hpp
@@ -65,7 +65,7 @@
 
   // The decision module's number of a tenant. Tenants added after the start all get the number
   // tenants.size(), which has no quota in the module.
-  [[nodiscard]] std::uint32_t tenant_number(const std::string& name) const;
+  [[nodiscard]] std::uint32_t tenant_index(const std::string& name) const;
   // Applies the reloadable settings of `reloaded`: instances, models, keys, check interval, continuation wait
   // and default output tokens. Returns false if other settings differ too, which take effect at the next
   // start. If the classes differ, the old models stay, because models refer to their class by index.
--- a/src/net/openai/front.cpp
+++ b/src/net/openai/front.cpp
@@ -375,7 +375,7 @@
   payload->body = std::move(prepared.body);
   payload->streamed = prepared.facts.streamed;
   core::ClientRequest ask{prepared.facts.arrived, payload, payload->id};
-  ask.facts.tenant = appliance_.tenant_number(ticket->tenant);
+  ask.facts.tenant = appliance_.tenant_index(ticket->tenant);
   ask.facts.deadline = scheduler_.now() + prepared.facts.timeout;
   IncomingRequest& client = *incoming;
   std::optional<recovery::StreamRecovery> recovery;
--- a/tests/door_test.cpp
+++ b/tests/door_test.cpp
@@ -101,8 +101,8 @@
   REQUIRE(appliance.tenants == std::vector<std::string>{"norte", "sur"});
   CHECK(appliance.module.tenants[0].quota_per_second == 0.0);
   CHECK(appliance.module.tenants[1].quota_per_second == Approx(3.0));
-  CHECK(appliance.tenant_number("sur") == 1);
-  CHECK(appliance.tenant_number("later") == 2);
+  CHECK(appliance.tenant_index("sur") == 1);
+  CHECK(appliance.tenant_index("later") == 2);
 }
 
 TEST_CASE("Share: tenants that flood the table leave a slot for a new tenant, however many flood it") {
