--- a/src/config/appliance.cpp
+++ b/src/config/appliance.cpp
@@ -146,7 +146,7 @@
     f.fail("max_body_mib", "must not exceed a fifth of 'memory_mb'");
   }
   a.continuation_wait = f.seconds("seam_s", a.continuation_wait);
-  if (f.has("stream_keep_alive_s")) a.stream_keep_alive = f.seconds("stream_keep_alive_s", 15s);
+  if (f.has("stream_keep_alive_s")) a.stream_keep_alive_interval = f.seconds("stream_keep_alive_s", 15s);
   a.keys_file = f.text("keys", "");
   if (f.has("keys") && a.keys_file.empty())
     f.fail("keys", "is empty; omit it to allow requests without an API key");
--- a/src/config/appliance.hpp
+++ b/src/config/appliance.hpp
@@ -51,9 +51,9 @@
   std::size_t max_body_bytes = 8 * 1024 * 1024;  // bytes of one request's body, decompressed
   // How long a client waits while another instance continues its answer.
   core::Duration continuation_wait{3'000'000};
-  core::Duration stream_keep_alive{0};    // interval of SSE comments before the first token; 0: none
-  std::vector<std::string> cors_origins;  // origins allowed by CORS; "*": all
-  std::string keys_file;                  // empty: requests need no API key
+  core::Duration stream_keep_alive_interval{0};  // interval of SSE comments before the first token; 0: none
+  std::vector<std::string> cors_origins;         // origins allowed by CORS; "*": all
+  std::string keys_file;                         // empty: requests need no API key
   std::optional<std::vector<admission::Key>> keys;  // contents of `keys_file`
   std::vector<std::string> tenants;                 // sorted names at start; the index is the module's number
   admission::LedgerLimits ledger;
--- a/src/net/openai/front.cpp
+++ b/src/net/openai/front.cpp
@@ -395,7 +395,7 @@
                                      std::move(recovery),
                                      original_request,
                                      appliance_.continuation_wait,
-                                     appliance_.stream_keep_alive};
+                                     appliance_.stream_keep_alive_interval};
   const core::RequestId id = conductor_.accept(
       std::move(ask),
       std::make_unique<openai::Reply>(std::move(incoming), scheduler_, std::move(reply_options)));
