--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -129,8 +129,8 @@
   c.stream_reports = c.module.report_mode == eiderarch::ReportMode::answers;
   if (document.contains("known")) {
     try {
-      ListMessage known = parse_list(document.at("known"), c.zones, c.kinds);
-      c.known = std::move(known.news);
+      DiscoveryMessage known = parse_discovery_message(document.at("known"), c.zones, c.kinds);
+      c.known = std::move(known.update);
       c.known_version = known.version;
     } catch (const wire::MalformedInput& problem) {
       throw BadConfig(std::string("known: ") + problem.what());
@@ -140,10 +140,10 @@
   return c;
 }
 
-ListMessage parse_list(const json& message, const std::vector<std::string>& zones,
-                       const std::vector<std::string>& kinds) {
+DiscoveryMessage parse_discovery_message(const json& message, const std::vector<std::string>& zones,
+                                         const std::vector<std::string>& kinds) {
   if (!message.is_object()) throw wire::MalformedInput("not an object");
-  ListMessage result;
+  DiscoveryMessage result;
   const auto version = message.find("version");
   if (version == message.end() || !version->is_number_unsigned()) {
     throw wire::MalformedInput("field 'version' is not a whole number");
@@ -151,7 +151,7 @@
   result.version = version->get<std::uint64_t>();
   const auto full = message.find("full");
   const bool complete = full != message.end() && full->is_boolean() && full->get<bool>();
-  result.news.scope = complete ? eiderarch::ListScope::complete : eiderarch::ListScope::changes;
+  result.update.scope = complete ? eiderarch::ListScope::complete : eiderarch::ListScope::changes;
   const auto servers = message.find("servers");
   if (servers == message.end() || !servers->is_array())
     throw wire::MalformedInput("field 'servers' is not a list");
@@ -176,7 +176,7 @@
     if (!listed_engines.insert(listed.entry.engine).second) {
       throw wire::MalformedInput("field 'id' names '" + listed.id + "' twice");
     }
-    result.news.entries.push_back(std::move(listed));
+    result.update.entries.push_back(std::move(listed));
   }
   return result;
 }
--- a/src/config/config.hpp
+++ b/src/config/config.hpp
@@ -49,12 +49,12 @@
 Config parse_config(const nlohmann::json& document, const Environment& environment);
 
 // One message from discovery: the whole list of instances or changes to it.
-struct ListMessage {
+struct DiscoveryMessage {
   std::uint64_t version = 0;
-  core::FleetUpdate news;
+  core::FleetUpdate update;
 };
 // Throws eiderarch::wire::MalformedInput.
-ListMessage parse_list(const nlohmann::json& message, const std::vector<std::string>& zones,
-                       const std::vector<std::string>& kinds);
+DiscoveryMessage parse_discovery_message(const nlohmann::json& message, const std::vector<std::string>& zones,
+                                         const std::vector<std::string>& kinds);
 
 }  // namespace bankmux::config
--- a/src/net/platform/discovery_watch.cpp
+++ b/src/net/platform/discovery_watch.cpp
@@ -147,11 +147,11 @@
 // A malformed line leaves the list unchanged; the watch is reopened from the last valid version.
 void DiscoveryWatch::on_line(const std::string& text) {
   try {
-    config::ListMessage message =
-        config::parse_list(eiderarch::wire::parse_object(text), config_.zones, config_.kinds);
+    config::DiscoveryMessage message =
+        config::parse_discovery_message(eiderarch::wire::parse_object(text), config_.zones, config_.kinds);
     version_ = message.version;
     full_list_needed_ = false;
-    on_update_(std::move(message.news));
+    on_update_(std::move(message.update));
   } catch (const eiderarch::wire::MalformedInput& problem) {
     log::write("discovery", std::string("list line not understood, the old list stays: ") + problem.what());
     schedule_reopen(kDelayAfterMalformed);
--- a/tests/config_test.cpp
+++ b/tests/config_test.cpp
@@ -204,7 +204,9 @@
     }
     return json{{"version", 3U}, {"full", true}, {"servers", servers}};
   };
-  CHECK(config::parse_list(list_of(4096, -1), zones, kinds).news.entries.size() == 4096);
-  CHECK_THROWS_WITH(config::parse_list(list_of(4097, -1), zones, kinds), Catch::Contains("4097 entries"));
-  CHECK_THROWS_WITH(config::parse_list(list_of(3, 2), zones, kinds), Catch::Contains("'s-0' twice"));
+  CHECK(config::parse_discovery_message(list_of(4096, -1), zones, kinds).update.entries.size() == 4096);
+  CHECK_THROWS_WITH(config::parse_discovery_message(list_of(4097, -1), zones, kinds),
+                    Catch::Contains("4097 entries"));
+  CHECK_THROWS_WITH(config::parse_discovery_message(list_of(3, 2), zones, kinds),
+                    Catch::Contains("'s-0' twice"));
 }
