--- a/src/app/serve.cpp
+++ b/src/app/serve.cpp
@@ -148,7 +148,7 @@
   net::PlatformFront front(*conductor, loop, config.classes, config.tenants);
   std::optional<PlatformManagement> management;
   if (!config.mgmt.empty()) management.emplace(loop, *conductor, front, config, temporary_directory());
-  conductor->update_fleet(config.known);  // the configured list is used until discovery sends one
+  conductor->update_fleet(config.initial_list);  // the configured list is used until discovery sends one
   discovery.open();
   if (config.passed_socket && !list_received) {
     // Meanwhile the previous process serves clients, with a newer list than the configured one.
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -130,13 +130,13 @@
   if (document.contains("known")) {
     try {
       DiscoveryMessage known = parse_discovery_message(document.at("known"), c.zones, c.kinds);
-      c.known = std::move(known.update);
-      c.known_version = known.version;
+      c.initial_list = std::move(known.update);
+      c.initial_list_version = known.version;
     } catch (const wire::MalformedInput& problem) {
       throw BadConfig(std::string("known: ") + problem.what());
     }
   }
-  c.known.scope = eiderarch::ListScope::disk;
+  c.initial_list.scope = eiderarch::ListScope::disk;
   return c;
 }
 
--- a/src/config/config.hpp
+++ b/src/config/config.hpp
@@ -33,8 +33,8 @@
   core::Duration cpu_budget_per_second{0};
   std::vector<std::string> unknown;  // keys of the settings that are unknown and ignored
   bool stream_reports = false;       // answers carry load reports
-  core::FleetUpdate known;
-  std::uint64_t known_version = 0;
+  core::FleetUpdate initial_list;
+  std::uint64_t initial_list_version = 0;
   std::size_t startup_settings_hash = 0;  // hash of all settings that a reload cannot change
 };
 
--- a/src/net/platform/discovery_watch.cpp
+++ b/src/net/platform/discovery_watch.cpp
@@ -32,7 +32,7 @@
       config_(config),
       address_(config.discovery),
       on_update_(std::move(on_update)),
-      version_(config.known_version),
+      version_(config.initial_list_version),
       // A service of fixed capacity would receive the calls of a fleet that was started or refused together
       // all at once. The ceiling therefore doubles with each consecutive call that brings no line, and each
       // conductor draws its own wait below it.
--- a/tests/config_test.cpp
+++ b/tests/config_test.cpp
@@ -55,10 +55,10 @@
   CHECK(c.module.seed == 0x8c1f30d27a5be964);
   CHECK(c.classes == std::vector<std::string>{"consulta", "ajuste"});
   CHECK(c.connect_timeout.count() == 250'000);
-  CHECK(c.known_version == 41);
-  REQUIRE(c.known.entries.size() == 1);
-  CHECK(c.known.entries[0].address == "127.0.0.1:1");
-  CHECK(c.known.scope == eiderarch::ListScope::disk);
+  CHECK(c.initial_list_version == 41);
+  REQUIRE(c.initial_list.entries.size() == 1);
+  CHECK(c.initial_list.entries[0].address == "127.0.0.1:1");
+  CHECK(c.initial_list.scope == eiderarch::ListScope::disk);
   const auto environment = [](const char* name) {
     return std::string(name) == "PROXY_NAME" ? "n9" : nullptr;
   };
