--- a/src/net/handover/stream_socket.cpp
+++ b/src/net/handover/stream_socket.cpp
@@ -126,7 +126,7 @@
 void StreamReceiver::on_connection() {
   Descriptor socket(::accept4(listener_.get(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC));
   if (socket.get() < 0 || connections_.size() >= kMaxSenders || !same_user(socket.get())) return;
-  const auto hello = operations::kStreamsHello;
+  const auto hello = operations::kStreamFormatLine;
   if (::send(socket.get(), hello.data(), hello.size(), MSG_NOSIGNAL) != ssize_t(hello.size())) return;
   Connection& connection = connections_.emplace_back();
   connection.receiver = this;
@@ -150,7 +150,7 @@
 }
 
 bool StreamReceiver::receive(int socket) {
-  std::string text(operations::kMostMessage + 1, '\0');
+  std::string text(operations::kMaxMessageBytes + 1, '\0');
   iovec part{text.data(), text.size()};
   alignas(cmsghdr) Control control{};
   msghdr message{};
@@ -211,7 +211,7 @@
   const ssize_t received = ::recv(socket_.get(), text, sizeof text, MSG_DONTWAIT);
   if (received < 0 && (errno == EAGAIN || errno == EINTR)) return;
   const bool is_hello =
-      received > 0 && std::string_view(text, std::size_t(received)) == operations::kStreamsHello;
+      received > 0 && std::string_view(text, std::size_t(received)) == operations::kStreamFormatLine;
   if (is_hello && !std::exchange(hello_received_, true)) return ready_();
   event_del(readable_event_.get());
   hello_received_ = false;
--- a/src/operations/passed_stream.cpp
+++ b/src/operations/passed_stream.cpp
@@ -78,11 +78,11 @@
                  {"client", binary_value(stream.client.state)},
                  {"instance", binary_value(stream.instance.state)}},
                 message);
-  return message.size() > kMostMessage ? std::string() : message;
+  return message.size() > kMaxMessageBytes ? std::string() : message;
 }
 
 std::optional<PassedStream> decode_stream(std::string_view message) {
-  if (message.size() > kMostMessage) return std::nullopt;
+  if (message.size() > kMaxMessageBytes) return std::nullopt;
   const json value = json::from_cbor(message, true, false);
   try {
     const FieldReader reader(value);
--- a/src/operations/passed_stream.hpp
+++ b/src/operations/passed_stream.hpp
@@ -12,17 +12,17 @@
 
 // The first text that the receiving process sends: the format that it reads. The sender serves no other
 // format.
-constexpr std::string_view kStreamsHello = "bankmux-streams 1\n";
+constexpr std::string_view kStreamFormatLine = "bankmux-streams 1\n";
 
 // Bytes of one stream's message; a stream with a longer one is not handed over.
-constexpr std::size_t kMostMessage = 160 * 1024;
+constexpr std::size_t kMaxMessageBytes = 160 * 1024;
 
 struct PassedStream {
   std::string name;            // the request's name at the instances
   core::RunningStream stream;  // without payload and descriptors
 };
 
-// Returns an empty string if the message would exceed kMostMessage bytes.
+// Returns an empty string if the message would exceed kMaxMessageBytes bytes.
 std::string encode(const std::string& name, const core::RunningStream& stream);
 // Returns nullopt if the message is not in encode()'s format or a number is out of range.
 std::optional<PassedStream> decode_stream(std::string_view message);
--- a/tests/handover_test.cpp
+++ b/tests/handover_test.cpp
@@ -66,7 +66,7 @@
   }));
   core::RunningStream large = {};
   large.instance_id = "b";
-  large.client.state.assign(operations::kMostMessage, 'x');
+  large.client.state.assign(operations::kMaxMessageBytes, 'x');
   CHECK(operations::encode("r-1", large).empty());
 }
 
