--- a/src/app/stream_handover.cpp
+++ b/src/app/stream_handover.cpp
@@ -27,13 +27,13 @@
       path_(std::move(path)) {
   try {
     receiver_ = std::make_unique<net::StreamReceiver>(
-        loop_, path_, [this](operations::PassedStream passed) { take_over_stream(std::move(passed)); });
+        loop_, path_, [this](operations::HandedOverStream passed) { take_over_stream(std::move(passed)); });
   } catch (const std::runtime_error& error) {
     log::write("handover", std::string("cannot receive running streams of another process: ") + error.what());
   }
 }
 
-void StreamHandover::take_over_stream(operations::PassedStream passed) {
+void StreamHandover::take_over_stream(operations::HandedOverStream passed) {
   // The pool key under which the connection is kept afterwards; empty, so that it is not kept, if the
   // instance is no longer listed.
   std::string address;
--- a/src/app/stream_handover.hpp
+++ b/src/app/stream_handover.hpp
@@ -27,7 +27,7 @@
   void start_sending();
 
  private:
-  void take_over_stream(operations::PassedStream passed);
+  void take_over_stream(operations::HandedOverStream passed);
   void send_streams();
 
   net::Loop& loop_;
--- a/src/net/handover/stream_socket.cpp
+++ b/src/net/handover/stream_socket.cpp
@@ -163,7 +163,7 @@
   std::vector<Descriptor> descriptors = received_descriptors(message);
   if (received <= 0) return false;
   text.resize(std::size_t(received));
-  auto stream = operations::decode_stream(text);
+  auto stream = operations::decode_handover_message(text);
   const bool truncated = (message.msg_flags & (MSG_TRUNC | MSG_CTRUNC)) != 0;
   if (truncated || !stream || descriptors.size() != kDescriptorsPerMessage) {
     log::write("handover", "received a malformed stream message; the stream is broken off");
--- a/src/net/handover/stream_socket.hpp
+++ b/src/net/handover/stream_socket.hpp
@@ -32,7 +32,7 @@
 class StreamReceiver {
  public:
   // Called once per stream; the callee owns both descriptors from then on.
-  using StreamHandler = std::function<void(operations::PassedStream)>;
+  using StreamHandler = std::function<void(operations::HandedOverStream)>;
   // Throws std::runtime_error if it cannot listen at `path`.
   StreamReceiver(Loop& loop, const std::string& path, StreamHandler take);
   ~StreamReceiver();
--- a/src/operations/passed_stream.cpp
+++ b/src/operations/passed_stream.cpp
@@ -81,13 +81,13 @@
   return message.size() > kMaxMessageBytes ? std::string() : message;
 }
 
-std::optional<PassedStream> decode_stream(std::string_view message) {
+std::optional<HandedOverStream> decode_handover_message(std::string_view message) {
   if (message.size() > kMaxMessageBytes) return std::nullopt;
   const json value = json::from_cbor(message, true, false);
   try {
     const FieldReader reader(value);
     (void)reader.integer("format", kFormat, kFormat);
-    PassedStream result;
+    HandedOverStream result;
     result.name = reader.text("name", kMaxNameBytes);
     // The name becomes part of a path at the instances.
     const bool valid_name = std::ranges::all_of(result.name, [](unsigned char c) {
--- a/src/operations/passed_stream.hpp
+++ b/src/operations/passed_stream.hpp
@@ -17,7 +17,7 @@
 // Bytes of one stream's message; a stream with a longer one is not handed over.
 constexpr std::size_t kMaxMessageBytes = 160 * 1024;
 
-struct PassedStream {
+struct HandedOverStream {
   std::string name;            // the request's name at the instances
   core::RunningStream stream;  // without payload and descriptors
 };
@@ -25,6 +25,6 @@
 // Returns an empty string if the message would exceed kMaxMessageBytes bytes.
 std::string encode(const std::string& name, const core::RunningStream& stream);
 // Returns nullopt if the message is not in encode()'s format or a number is out of range.
-std::optional<PassedStream> decode_stream(std::string_view message);
+std::optional<HandedOverStream> decode_handover_message(std::string_view message);
 
 }  // namespace bankmux::operations
--- a/tests/handover_test.cpp
+++ b/tests/handover_test.cpp
@@ -39,7 +39,7 @@
   CHECK(rc::check("encode, decode", [] {
     const core::RunningStream stream = random_stream();
     const std::string message = operations::encode("r-1", stream);
-    const auto back = operations::decode_stream(message);
+    const auto back = operations::decode_handover_message(message);
     RC_ASSERT(back.has_value());
     RC_ASSERT(back->name == "r-1");
     RC_ASSERT(back->stream.instance_id == stream.instance_id);
@@ -55,10 +55,10 @@
   CHECK(rc::check("spoilt", [] {
     std::string message = operations::encode("r-1", random_stream());
     const std::size_t cut = *rc::gen::inRange<std::size_t>(0, message.size());
-    RC_ASSERT(!operations::decode_stream(message.substr(0, cut)));
+    RC_ASSERT(!operations::decode_handover_message(message.substr(0, cut)));
     // With any single byte changed, a message that still decodes has all values in range.
     message[cut] = char(*rc::gen::arbitrary<unsigned char>());
-    if (const auto read = operations::decode_stream(message)) {
+    if (const auto read = operations::decode_handover_message(message)) {
       RC_ASSERT(read->stream.attempts >= 1);
       RC_ASSERT(read->stream.first <= read->stream.age);
       RC_ASSERT(read->name.find('/') == std::string::npos);
