--- a/src/net/platform/management_handler.cpp
+++ b/src/net/platform/management_handler.cpp
@@ -46,7 +46,7 @@
   }
   if (incoming.method() != "POST") return incoming.answer(405, {{"Allow", "POST"}}, "POST only\n");
   const std::string id = path.substr(kInstances.size(), slash - kInstances.size());
-  if (!operations::plain_id(id)) return incoming.answer(400, {}, "not an instance's id\n");
+  if (!operations::is_valid_id(id)) return incoming.answer(400, {}, "not an instance's id\n");
   if (!conductor_.fleet().knows(id)) return incoming.answer(404, {}, "no instance has that id\n");
   if (!actions_.maintain(id, command == "disable")) {
     return incoming.answer(503, {}, "could not be written down; nothing has changed\n");
--- a/src/operations/maintenance.cpp
+++ b/src/operations/maintenance.cpp
@@ -21,13 +21,13 @@
   if (!list.is_array() || list.size() > kMaxIds) return std::nullopt;
   Ids ids;
   for (const auto& id : list) {
-    if (!id.is_string() || !plain_id(id.get_ref<const std::string&>())) return std::nullopt;
+    if (!id.is_string() || !is_valid_id(id.get_ref<const std::string&>())) return std::nullopt;
     ids.insert(id.get<std::string>());
   }
   return ids;
 }
 
-bool plain_id(std::string_view id) {
+bool is_valid_id(std::string_view id) {
   return !id.empty() && id.size() <= kMaxIdBytes && std::ranges::all_of(id, [](unsigned char c) {
     return std::isalnum(c) || c == '-' || c == '_' || c == '.' || c == ':';
   });
--- a/src/operations/maintenance.hpp
+++ b/src/operations/maintenance.hpp
@@ -23,6 +23,6 @@
 
 // Whether an id from a request's path is well-formed: 1 to kMaxIdBytes letters, digits, '-', '_', '.' and
 // ':'.
-bool plain_id(std::string_view id);
+bool is_valid_id(std::string_view id);
 
 }  // namespace bankmux::operations
--- a/tests/operations_test.cpp
+++ b/tests/operations_test.cpp
@@ -41,7 +41,7 @@
     const auto id =
         rc::gen::nonEmpty(rc::gen::container<std::string>(rc::gen::elementOf(std::string("aZ09-_.:"))));
     const auto ids = *rc::gen::container<operations::Ids>(id);
-    for (const std::string& each : ids) RC_PRE(operations::plain_id(each));
+    for (const std::string& each : ids) RC_PRE(operations::is_valid_id(each));
     const std::string text = operations::encode(ids);
     RC_ASSERT(operations::decode(text) == ids);
     const auto length = *rc::gen::inRange<std::size_t>(0, text.size());
