--- a/tests/fleet/ownership_stories.cpp
+++ b/tests/fleet/ownership_stories.cpp
@@ -188,8 +188,8 @@
 TEST_CASE("Fleet: on the platform, and without 'coordination', no store is opened") {
   integration::Platform platform({{"a", "mixto", "127.0.0.1:1"}});
   integration::EventLog seen;
-  integration::ScriptedServer box(
-      integration::box(seen, [](integration::TestConnection&, const integration::Message&) { return true; }));
+  integration::ScriptedServer box(integration::instance_script(
+      seen, [](integration::TestConnection&, const integration::Message&) { return true; }));
   integration::Appliance alone({box.address()});
   CHECK(alone.page("GET", "/-/duties").starts_with("HTTP/1.1 404"));
   Fleet fleet(1);
--- a/tests/integration/admission_test.cpp
+++ b/tests/integration/admission_test.cpp
@@ -22,7 +22,7 @@
   return plain_response(status, body, "Content-Type: application/json\r\n");
 }
 ScriptedServer::Script answering(EventLog& seen) {
-  return box(seen, [](TestConnection& wire, const Message& m) {
+  return instance_script(seen, [](TestConnection& wire, const Message& m) {
     wire.send(json::parse(m.body).value("stream", false) ? stream_text() : json_answer("200 OK", kWhole));
     return true;
   });
@@ -81,7 +81,7 @@
 TEST_CASE("Admission: keys are created, accepted, withheld from instances, limited to models, and revoked") {
   EventLog seen;
   std::atomic<bool> key_seen{false};
-  ScriptedServer one(box(seen, [&](TestConnection& wire, const Message& m) {
+  ScriptedServer one(instance_script(seen, [&](TestConnection& wire, const Message& m) {
     if (m.headers.contains("authorization")) key_seen = true;
     wire.send(json_answer("200 OK", kWhole));
     return true;
@@ -132,7 +132,7 @@
     "Admission: a key over its limits gets 429 with Retry-After, and unexecuted requests cost nothing") {
   EventLog seen;
   std::atomic<bool> full{true};
-  ScriptedServer one(box(seen, [&](TestConnection& wire, const Message&) {
+  ScriptedServer one(instance_script(seen, [&](TestConnection& wire, const Message&) {
     wire.send(full ? plain_response("429 Too Many Requests", "") : json_answer("200 OK", kWhole));
     return true;
   }));
@@ -173,7 +173,7 @@
     "its answer") {
   EventLog seen;
   std::atomic<bool> hold{true};
-  ScriptedServer one(box(seen, [&](TestConnection& wire, const Message& m) {
+  ScriptedServer one(instance_script(seen, [&](TestConnection& wire, const Message& m) {
     while (hold) std::this_thread::sleep_for(5ms);
     wire.send(json::parse(m.body).value("stream", false) ? stream_text() : json_answer("200 OK", kWhole));
     return true;
@@ -215,7 +215,7 @@
 TEST_CASE(
     "Admission: an ajuste whose client disconnects is not run again, and a repeat gets outcome_unknown") {
   EventLog seen;
-  ScriptedServer one(box(seen, [&](TestConnection& wire, const Message&) {
+  ScriptedServer one(instance_script(seen, [&](TestConnection& wire, const Message&) {
     wire.send(stream_head() + chunk(kEvent));
     seen.add(wire.closed_within(5000) ? "attempt ended" : "attempt goes on");
     return false;
@@ -250,7 +250,7 @@
     "Admission: a repeat runs a request that is proved not to have run, and never one that may have run") {
   EventLog seen;
   std::atomic<int> step{0};
-  ScriptedServer one(box(seen, [&](TestConnection& wire, const Message&) {
+  ScriptedServer one(instance_script(seen, [&](TestConnection& wire, const Message&) {
     switch (step) {
       case 0:
         wire.send(plain_response("429 Too Many Requests", ""));
@@ -288,7 +288,7 @@
     "Admission: a stream whose key is revoked is completed, and the next request with the key is rejected") {
   EventLog seen;
   std::atomic<bool> hold{true};
-  ScriptedServer one(box(seen, [&](TestConnection& wire, const Message&) {
+  ScriptedServer one(instance_script(seen, [&](TestConnection& wire, const Message&) {
     wire.send(stream_head() + chunk(kEvent));
     while (hold) std::this_thread::sleep_for(5ms);
     wire.send(chunk("data: [DONE]\n\n") + "0\r\n\r\n");
@@ -311,7 +311,7 @@
 TEST_CASE("Admission: one tenant's flood of open requests leaves room for another tenant") {
   EventLog seen;
   std::atomic<bool> hold{true};
-  ScriptedServer one(box(seen, [&](TestConnection& wire, const Message&) {
+  ScriptedServer one(instance_script(seen, [&](TestConnection& wire, const Message&) {
     while (hold) std::this_thread::sleep_for(5ms);
     wire.send(json_answer("200 OK", kWhole));
     return true;
@@ -369,7 +369,7 @@
 TEST_CASE("Admission: a refused retry does not refund an earlier attempt that may have run") {
   EventLog seen;
   std::atomic<int> step{0};
-  const auto script = box(seen, [&](TestConnection& wire, const Message&) {
+  const auto script = instance_script(seen, [&](TestConnection& wire, const Message&) {
     wire.send(step++ == 0 ? plain_response("500 Internal Server Error", "{}")
                           : plain_response("429 Too Many Requests", ""));
     return true;
--- a/tests/integration/appliance_test.cpp
+++ b/tests/integration/appliance_test.cpp
@@ -11,7 +11,7 @@
 
 TEST_CASE("Chat: streamed and complete answers are forwarded unchanged") {
   EventLog seen;
-  ScriptedServer one(box(seen, [](TestConnection& wire, const Message& m) {
+  ScriptedServer one(instance_script(seen, [](TestConnection& wire, const Message& m) {
     if (json::parse(m.body)["stream"] == true) {
       wire.send(event_stream({"{\"choices\":[{\"delta\":{\"content\":\"ok\"}}]}", "[DONE]"}));
     } else {
@@ -33,7 +33,7 @@
 
 TEST_CASE("Chat: models are listed and an invalid request gets a 400 or 404 that names the field") {
   EventLog seen;
-  ScriptedServer one(box(seen, [](TestConnection&, const Message&) { return false; }));
+  ScriptedServer one(instance_script(seen, [](TestConnection&, const Message&) { return false; }));
   Appliance appliance({one.address()});
   CHECK(body_of(appliance.get("/v1/models"))["data"][1]["id"] == "m-ajuste");
   CHECK(body_of(appliance.get("/v1/models/m-ajuste"))["object"] == "model");
@@ -70,7 +70,7 @@
     if (wire.closed_within(3000)) seen.add("stream ended");
     return false;
   };
-  ScriptedServer one(box(seen, chat)), two(box(seen, chat));
+  ScriptedServer one(instance_script(seen, chat)), two(instance_script(seen, chat));
   Appliance appliance({one.address(), two.address()});
   const auto client = appliance.connect();
   client->send(Appliance::request(Appliance::body("m-ajuste", true)));
@@ -88,7 +88,7 @@
     wire.send(event_stream({"{\"x\":1}", error}));
     return true;
   };
-  ScriptedServer one(box(seen, chat)), two(box(seen, chat));
+  ScriptedServer one(instance_script(seen, chat)), two(instance_script(seen, chat));
   Appliance appliance({one.address(), two.address()});
   const std::string answer = appliance.chat(Appliance::body("m-consulta", true));
   CHECK(has(answer, "data: {\"x\":1}\n\n"));
@@ -101,7 +101,7 @@
 
 TEST_CASE("Chat: a stream that ends early gets an error event from the conductor") {
   EventLog seen;
-  ScriptedServer one(box(seen, [](TestConnection& wire, const Message&) {
+  ScriptedServer one(instance_script(seen, [](TestConnection& wire, const Message&) {
     wire.send(stream_head() + chunk("data: {\"x\":1}\n\n"));
     return false;
   }));
@@ -138,7 +138,7 @@
         wire.send(plain_response(c.status, "{\"error\":{\"message\":\"no\"}}", c.headers));
         return true;
       };
-      ScriptedServer one(box(seen, chat)), two(box(seen, chat));
+      ScriptedServer one(instance_script(seen, chat)), two(instance_script(seen, chat));
       Appliance appliance({one.address(), two.address()});
       const std::string answer = appliance.chat(Appliance::body(c.model, stream));
       INFO(c.status << " " << c.model << " " << answer);
@@ -164,7 +164,7 @@
     wire.send(plain_response("200 OK", "{\"whole\":1}"));
     return true;
   };
-  ScriptedServer one(box(seen, chat)), two(box(seen, chat));
+  ScriptedServer one(instance_script(seen, chat)), two(instance_script(seen, chat));
   Appliance appliance({one.address(), two.address()});
   CHECK(body_of(appliance.chat(Appliance::body("m-consulta", false)))["whole"] == 1);
   CHECK(seen.count(kChat) == 2);
@@ -172,9 +172,9 @@
 
 TEST_CASE("Checks: agent-check, health and console reflect instance state, drains and shutdown") {
   EventLog seen;
-  ScriptedServer one(box(seen, [](TestConnection&, const Message&) { return false; }));
-  auto two =
-      std::make_unique<ScriptedServer>(box(seen, [](TestConnection&, const Message&) { return false; }));
+  ScriptedServer one(instance_script(seen, [](TestConnection&, const Message&) { return false; }));
+  auto two = std::make_unique<ScriptedServer>(
+      instance_script(seen, [](TestConnection&, const Message&) { return false; }));
   Appliance appliance({one.address(), two->address()});
   CHECK(appliance.agent_reports("up 100%\n"));
   CHECK(appliance.get("/-/healthy").starts_with("HTTP/1.1 200"));
@@ -211,7 +211,8 @@
     };
   };
   EventLog requests;
-  ScriptedServer one(box(requests, recording_script("one"))), two(box(requests, recording_script("two")));
+  ScriptedServer one(instance_script(requests, recording_script("one"))),
+      two(instance_script(requests, recording_script("two")));
   Appliance appliance({one.address(), two.address()});
   CHECK(appliance.page("POST", "/-/boxes/b1/drain").starts_with("HTTP/1.1 204"));
   for (int i = 0; i < 4; ++i) {
@@ -226,7 +227,7 @@
     wire.send(event_stream({"{}", "[DONE]"}));
     return true;
   };
-  ScriptedServer one(box(first_seen, answer)), two(box(second_seen, answer));
+  ScriptedServer one(instance_script(first_seen, answer)), two(instance_script(second_seen, answer));
   Appliance appliance({one.address()});
   CHECK(appliance.page("POST", "/-/boxes/b1/drain").starts_with("HTTP/1.1 204"));
   json new_file = appliance.file();
--- a/tests/integration/appliance_world.hpp
+++ b/tests/integration/appliance_world.hpp
@@ -30,8 +30,8 @@
 // Script of a fake model-server instance, based on the public description of the API. Answers health checks,
 // records the first line of every other request and passes the request to `chat`, which returns whether to
 // keep the connection.
-inline ScriptedServer::Script box(EventLog& seen,
-                                  const std::function<bool(TestConnection&, const Message&)>& chat) {
+inline ScriptedServer::Script instance_script(
+    EventLog& seen, const std::function<bool(TestConnection&, const Message&)>& chat) {
   return [&seen, chat](TestConnection& wire) {
     while (const auto request = wire.receive()) {
       if (request->first.starts_with("GET /v1/models")) {
--- a/tests/integration/chat_test.cpp
+++ b/tests/integration/chat_test.cpp
@@ -17,7 +17,7 @@
 std::string whole_stream() { return stream_head() + chunk(kEvent) + chunk("data: [DONE]\n\n") + "0\r\n\r\n"; }
 
 ScriptedServer::Script answering(EventLog& seen) {
-  return box(seen, [](TestConnection& wire, const Message& m) {
+  return instance_script(seen, [](TestConnection& wire, const Message& m) {
     if (json::parse(m.body).value("stream", false)) {
       wire.send(whole_stream());
     } else {
@@ -33,7 +33,7 @@
   EventLog seen;
   const std::string cut_event = "data: {\"choices\":[{\"delta\":{\"content\":\"never whole\"}}]}\n\n";
   std::atomic<std::size_t> cut{0};
-  ScriptedServer one(box(seen, [&](TestConnection& wire, const Message&) {
+  ScriptedServer one(instance_script(seen, [&](TestConnection& wire, const Message&) {
     wire.send(stream_head() + chunk(kEvent) + (cut > 0 ? chunk(cut_event.substr(0, cut)) : ""));
     return false;
   }));
@@ -55,7 +55,7 @@
   const std::string first = "data: {\"choices\":[]}\r\n\r\n", last = "data: [DONE]\r\n\r\n";
   for (std::size_t cut = last.size() - 4; cut < last.size(); ++cut) {
     EventLog client_progress;
-    ScriptedServer one(box(seen, [&](TestConnection& wire, const Message&) {
+    ScriptedServer one(instance_script(seen, [&](TestConnection& wire, const Message&) {
       wire.send(stream_head() + chunk(first) + chunk(last.substr(0, cut)));
       if (!client_progress.wait_for("has the first")) return false;
       wire.send(chunk(last.substr(cut)) + "0\r\n\r\n");
@@ -77,7 +77,7 @@
   constexpr std::size_t kEvents = 4000, kSize = 8192;  // 32 MB
   std::atomic<std::size_t> sent{0};
   const std::string event = "data: {\"x\":\"" + std::string(kSize, 'x') + "\"}\n\n";
-  ScriptedServer one(box(seen, [&](TestConnection& wire, const Message&) {
+  ScriptedServer one(instance_script(seen, [&](TestConnection& wire, const Message&) {
     wire.send(stream_head());
     for (std::size_t i = 0; i < kEvents; ++i) {
       wire.send(chunk(event));
@@ -105,7 +105,7 @@
 
 TEST_CASE("Chat: a consulta that fails at one instance is retried at the idle one every time") {
   EventLog good, bad;
-  ScriptedServer failing(box(bad, [](TestConnection& wire, const Message&) {
+  ScriptedServer failing(instance_script(bad, [](TestConnection& wire, const Message&) {
     wire.send(plain_response("500 Internal Server Error", "{\"error\":{\"message\":\"x\"}}"));
     return true;
   }));
@@ -134,7 +134,7 @@
 TEST_CASE(
     "Chat: prompts of 6 MB are served until body memory is used up, and then one gets 503 with Retry-After") {
   EventLog seen;
-  ScriptedServer one(box(seen, [](TestConnection& wire, const Message&) {
+  ScriptedServer one(instance_script(seen, [](TestConnection& wire, const Message&) {
     std::this_thread::sleep_for(400ms);
     wire.send(plain_response("200 OK", "{\"choices\":[]}"));
     return true;
--- a/tests/integration/recovery_test.cpp
+++ b/tests/integration/recovery_test.cpp
@@ -108,7 +108,7 @@
   const std::size_t first = events_after("")[0].size(),
                     last = whole.size() - std::string("data: [DONE]\n\n").size();
   std::atomic<std::size_t> cut{0};
-  const auto script = box(seen, [&](TestConnection& wire, const Message& m) {
+  const auto script = instance_script(seen, [&](TestConnection& wire, const Message& m) {
     const std::string written = written_in(m);
     // Only the first attempt is cut. A continuation after the role event alone has no text either, so it
     // looks like a first attempt but arrives second.
@@ -143,7 +143,7 @@
 
 TEST_CASE("Recovery: an ajuste is never continued and reaches no second instance") {
   EventLog seen;
-  const auto script = box(seen, [&](TestConnection& wire, const Message&) {
+  const auto script = instance_script(seen, [&](TestConnection& wire, const Message&) {
     wire.send(stream_head() + chunk(events_after("")[0] + events_after("")[1]));
     wire.reset();
     return false;
@@ -160,7 +160,7 @@
     "Recovery: a third instance continues if the second fails too, and without one the stream is broken") {
   EventLog seen;
   std::atomic<int> deaths{2};
-  const auto script = box(seen, [&](TestConnection& wire, const Message& m) {
+  const auto script = instance_script(seen, [&](TestConnection& wire, const Message& m) {
     const auto events = events_after(written_in(m));
     if (deaths-- > 0) {
       wire.send(stream_head() + chunk(events[0] + events[1] + events[2]));
@@ -188,7 +188,7 @@
   for (const bool rejects : {true, false}) {
     EventLog seen;
     std::atomic<bool> first{true};
-    const auto script = box(seen, [&](TestConnection& wire, const Message&) {
+    const auto script = instance_script(seen, [&](TestConnection& wire, const Message&) {
       const auto events = events_after("");
       if (first.exchange(false)) {
         wire.send(stream_head() + chunk(events[0] + events[1] + events[2] + events[3] + events[4]));
@@ -222,7 +222,7 @@
     "client") {
   EventLog seen;
   std::atomic<bool> first{true};
-  const auto script = box(seen, [&](TestConnection& wire, const Message& m) {
+  const auto script = instance_script(seen, [&](TestConnection& wire, const Message& m) {
     const auto events = events_after(written_in(m));
     if (first.exchange(false)) {
       wire.send(stream_head() + chunk(events[0] + events[1] + events[2]));
@@ -249,7 +249,7 @@
     "Recovery: a client that disconnects during recovery ends the attempt, and no further one is made") {
   EventLog seen;
   std::atomic<bool> first{true};
-  const auto script = box(seen, [&](TestConnection& wire, const Message& m) {
+  const auto script = instance_script(seen, [&](TestConnection& wire, const Message& m) {
     const auto events = events_after(written_in(m));
     if (first.exchange(false)) {
       wire.send(stream_head() + chunk(events[0] + events[1] + events[2]));
@@ -273,7 +273,7 @@
 
 TEST_CASE("Recovery: without the continuation setting a lost stream ends broken") {
   EventLog seen;
-  const auto script = box(seen, [&](TestConnection& wire, const Message&) {
+  const auto script = instance_script(seen, [&](TestConnection& wire, const Message&) {
     wire.send(stream_head() + chunk(events_after("")[0] + events_after("")[1]));
     wire.reset();
     return false;
