--- a/tests/integration/appliance_test.cpp
+++ b/tests/integration/appliance_test.cpp
@@ -93,7 +93,7 @@
   const std::string answer = appliance.chat(Appliance::body("m-consulta", true));
   CHECK(has(answer, "data: {\"x\":1}\n\n"));
   CHECK(has(answer, "data: " + error + "\n\n"));
-  CHECK(answers_in(answer) == 1);
+  CHECK(count_responses(answer) == 1);
   CHECK_FALSE(has(answer, "\r\n0\r\n"));  // an incomplete stream has no final chunk
   CHECK(seen.count(kChat) == 1);
   CHECK(body_of(appliance.page("GET", "/-/status"))["requests"]["broken"] == 1);
@@ -143,7 +143,7 @@
       const std::string answer = appliance.chat(Appliance::body(c.model, stream));
       INFO(c.status << " " << c.model << " " << answer);
       CHECK(answer.starts_with("HTTP/1.1 " + std::to_string(c.answer)));
-      CHECK(answers_in(answer) == 1);
+      CHECK(count_responses(answer) == 1);
       CHECK(body_of(answer).contains("error"));
       CHECK(has(answer, "Retry-After: ") == c.may_retry);
       CHECK(has(answer, std::string("x-should-retry: ") + (c.may_retry ? "true" : "false")));
--- a/tests/integration/appliance_world.hpp
+++ b/tests/integration/appliance_world.hpp
@@ -21,7 +21,7 @@
 }
 
 // Number of HTTP/1.1 status lines in `text`.
-inline int answers_in(const std::string& text) {
+inline int count_responses(const std::string& text) {
   int count = 0;
   for (std::size_t at = 0; (at = text.find("HTTP/1.1 ", at)) != std::string::npos; ++at) ++count;
   return count;
--- a/tests/integration/recovery_test.cpp
+++ b/tests/integration/recovery_test.cpp
@@ -180,7 +180,7 @@
   const std::string broken = appliance.chat(kConsulta);
   CHECK(has(broken, "stream_broken"));
   CHECK(parse_stream(broken).text.size() < whole_text().size());
-  CHECK(answers_in(broken) == 1);
+  CHECK(count_responses(broken) == 1);
 }
 
 TEST_CASE(
@@ -213,7 +213,7 @@
     CHECK(h.error);
     CHECK_FALSE(h.whole);
     CHECK(has(answer, "stream_broken"));
-    CHECK(answers_in(answer) == 1);
+    CHECK(count_responses(answer) == 1);
   }
 }
 
