--- a/tests/fleet/ownership_stories.cpp
+++ b/tests/fleet/ownership_stories.cpp
@@ -114,7 +114,7 @@
   REQUIRE(fleet.wait_for_owner() >= 0);
   const auto state = [&fleet](int i) {
     const std::string text = fleet.member(i).page("GET", "/-/status");
-    return integration::body_of(text).at("boxes")[0].at("state").get<std::string>();
+    return integration::json_body(text).at("boxes")[0].at("state").get<std::string>();
   };
   const auto all_report = [&](const std::string& expected) {
     for (int tries = 0; tries < 200; ++tries) {
--- a/tests/integration/admission_test.cpp
+++ b/tests/integration/admission_test.cpp
@@ -96,7 +96,7 @@
                                    sur.substr(0, sur.size() - 1) + (sur.back() == '0' ? "1" : "0")}) {
     const std::string answer = send_request(appliance, kAjuste, {wrong});
     CHECK(answer.starts_with("HTTP/1.1 401 Unauthorized"));
-    CHECK(body_of(answer)["error"]["code"] == "invalid_api_key");
+    CHECK(json_body(answer)["error"]["code"] == "invalid_api_key");
     CHECK(has(answer, "x-should-retry: false"));
   }
   CHECK(send_request(appliance, kAjuste, {norte}).starts_with("HTTP/1.1 403"));
@@ -109,7 +109,7 @@
                                             "GET /v1/models HTTP/1.1\r\nConnection: close\r\n"
                                             "Authorization: bearer " +
                                                 norte + "\r\n\r\n");
-  CHECK(body_of(models)["data"].size() == 1);
+  CHECK(json_body(models)["data"].size() == 1);
 
   const CommandResult list = run_bankmux({"key", "list", "--keys", keys.path(), "--json"});
   CHECK(json::parse(list.output).size() == 2);
@@ -152,7 +152,7 @@
   CHECK(send_request(appliance, kAjuste, {norte}).starts_with("HTTP/1.1 200"));
   const std::string over = send_request(appliance, kAjuste, {norte});
   CHECK(over.starts_with("HTTP/1.1 429"));
-  CHECK(body_of(over)["error"]["code"] == "rate_limit_exceeded");
+  CHECK(json_body(over)["error"]["code"] == "rate_limit_exceeded");
   CHECK(has(over, "x-should-retry: true"));
   CHECK(has(over, "Retry-After: "));
   CHECK(send_request(appliance, kAjuste, {sur}).starts_with("HTTP/1.1 200"));
@@ -231,7 +231,7 @@
   REQUIRE(seen.wait_for("attempt ended"));
   const std::string again = send_request(appliance, kStream, {norte, "pedido-1"});
   CHECK(again.starts_with("HTTP/1.1 502"));
-  CHECK(body_of(again)["error"]["code"] == "outcome_unknown");
+  CHECK(json_body(again)["error"]["code"] == "outcome_unknown");
   CHECK(has(again, "x-should-retry: false"));
   CHECK(seen.count(kChat) == 1);
   // The reservation is settled and no request is open.
--- a/tests/integration/appliance_test.cpp
+++ b/tests/integration/appliance_test.cpp
@@ -27,7 +27,7 @@
   CHECK(has(streamed, "data: [DONE]\n\n"));
   const std::string whole = appliance.chat(Appliance::body("m-ajuste", false));
   CHECK(whole.starts_with("HTTP/1.1 200"));
-  CHECK(body_of(whole)["object"] == "chat.completion");
+  CHECK(json_body(whole)["object"] == "chat.completion");
   CHECK(seen.count(kChat) == 2);
 }
 
@@ -35,8 +35,8 @@
   EventLog seen;
   ScriptedServer one(instance_script(seen, [](TestConnection&, const Message&) { return false; }));
   Appliance appliance({one.address()});
-  CHECK(body_of(appliance.get("/v1/models"))["data"][1]["id"] == "m-ajuste");
-  CHECK(body_of(appliance.get("/v1/models/m-ajuste"))["object"] == "model");
+  CHECK(json_body(appliance.get("/v1/models"))["data"][1]["id"] == "m-ajuste");
+  CHECK(json_body(appliance.get("/v1/models/m-ajuste"))["object"] == "model");
   CHECK(appliance.get("/v1/models/other").starts_with("HTTP/1.1 404"));
   CHECK(appliance.get("/v1/chat/completions").starts_with("HTTP/1.1 405"));
   const std::pair<const char*, json> invalid[] = {
@@ -55,7 +55,7 @@
   for (const auto& [body, param] : invalid) {
     const std::string answer = appliance.chat(body);
     CHECK(answer.starts_with(has(body, "other") ? "HTTP/1.1 404" : "HTTP/1.1 400"));
-    const json error = body_of(answer)["error"];
+    const json error = json_body(answer)["error"];
     CHECK(error["type"] == "invalid_request_error");
     CHECK(error["param"] == param);
   }
@@ -96,7 +96,7 @@
   CHECK(count_responses(answer) == 1);
   CHECK_FALSE(has(answer, "\r\n0\r\n"));  // an incomplete stream has no final chunk
   CHECK(seen.count(kChat) == 1);
-  CHECK(body_of(appliance.page("GET", "/-/status"))["requests"]["broken"] == 1);
+  CHECK(json_body(appliance.page("GET", "/-/status"))["requests"]["broken"] == 1);
 }
 
 TEST_CASE("Chat: a stream that ends early gets an error event from the conductor") {
@@ -144,7 +144,7 @@
       INFO(c.status << " " << c.model << " " << answer);
       CHECK(answer.starts_with("HTTP/1.1 " + std::to_string(c.answer)));
       CHECK(count_responses(answer) == 1);
-      CHECK(body_of(answer).contains("error"));
+      CHECK(json_body(answer).contains("error"));
       CHECK(has(answer, "Retry-After: ") == c.may_retry);
       CHECK(has(answer, std::string("x-should-retry: ") + (c.may_retry ? "true" : "false")));
       CHECK(has(answer, "nothing was run") == (c.answer == 503));
@@ -166,7 +166,7 @@
   };
   ScriptedServer one(instance_script(seen, chat)), two(instance_script(seen, chat));
   Appliance appliance({one.address(), two.address()});
-  CHECK(body_of(appliance.chat(Appliance::body("m-consulta", false)))["whole"] == 1);
+  CHECK(json_body(appliance.chat(Appliance::body("m-consulta", false)))["whole"] == 1);
   CHECK(seen.count(kChat) == 2);
 }
 
--- a/tests/integration/appliance_world.hpp
+++ b/tests/integration/appliance_world.hpp
@@ -16,7 +16,7 @@
   return text.find(part) != std::string::npos;
 }
 
-inline nlohmann::json body_of(const std::string& answer) {
+inline nlohmann::json json_body(const std::string& answer) {
   return nlohmann::json::parse(answer.substr(answer.find("\r\n\r\n") + 4));
 }
 
--- a/tests/integration/chat_test.cpp
+++ b/tests/integration/chat_test.cpp
@@ -126,7 +126,7 @@
   client->send(std::string(12582912, 'x'));
   const std::string answer = client->receive_all();
   CHECK(answer.starts_with("HTTP/1.1 413"));
-  CHECK(body_of(answer)["error"]["code"] == "body_too_large");
+  CHECK(json_body(answer)["error"]["code"] == "body_too_large");
   CHECK(has(answer, "x-should-retry: false"));
   CHECK(seen.all().empty());
 }
--- a/tests/integration/recovery_test.cpp
+++ b/tests/integration/recovery_test.cpp
@@ -135,7 +135,7 @@
     REQUIRE(h.text == whole_text());
     REQUIRE((h.roles == 1 && h.finishes == 1 && h.dones == 1 && h.whole && !h.error));
   }
-  const json requests = body_of(appliance.page("GET", "/-/status"))["requests"];
+  const json requests = json_body(appliance.page("GET", "/-/status"))["requests"];
   CHECK(requests["broken"] == 0);
   CHECK(requests["continued"] > 100);
   CHECK(requests["end_added"] > 0);  // cut after the finish_reason, so only [DONE] was missing
