--- a/tests/integration/admission_test.cpp
+++ b/tests/integration/admission_test.cpp
@@ -71,7 +71,7 @@
 }
 std::string send_request(const Appliance& appliance, const std::string& body,
                          const RequestHeaders& headers_given) {
-  return Appliance::say(appliance.chat_address(), request(body, headers_given));
+  return Appliance::exchange(appliance.chat_address(), request(body, headers_given));
 }
 
 const std::string kAjuste = Appliance::body("m-ajuste", false), kStream = Appliance::body("m-ajuste", true);
@@ -105,10 +105,10 @@
   CHECK_FALSE(key_seen);
   // Health checks need no key, but /v1/models does, and lists only the models that the key may use.
   CHECK(appliance.get("/v1/models").starts_with("HTTP/1.1 401"));
-  const std::string models = Appliance::say(appliance.chat_address(),
-                                            "GET /v1/models HTTP/1.1\r\nConnection: close\r\n"
-                                            "Authorization: bearer " +
-                                                norte + "\r\n\r\n");
+  const std::string models = Appliance::exchange(appliance.chat_address(),
+                                                 "GET /v1/models HTTP/1.1\r\nConnection: close\r\n"
+                                                 "Authorization: bearer " +
+                                                     norte + "\r\n\r\n");
   CHECK(json_body(models)["data"].size() == 1);
 
   const CommandResult list = run_bankmux({"key", "list", "--keys", keys.path(), "--json"});
--- a/tests/integration/appliance_world.hpp
+++ b/tests/integration/appliance_world.hpp
@@ -93,19 +93,20 @@
         .dump();
   }
   // Sends a chat completion request and returns the whole answer.
-  [[nodiscard]] std::string chat(const std::string& body) const { return say(chat_, request(body)); }
+  [[nodiscard]] std::string chat(const std::string& body) const { return exchange(chat_, request(body)); }
   // Sends `text` and returns everything received until the connection closes.
-  [[nodiscard]] static std::string say(const std::string& address, const std::string& text) {
+  [[nodiscard]] static std::string exchange(const std::string& address, const std::string& text) {
     const auto wire = TestConnection::to(address);
     wire->send(text);
     return wire->receive_all();
   }
   [[nodiscard]] std::string get(const std::string& path) const {
-    return say(chat_, "GET " + path + " HTTP/1.1\r\nConnection: close\r\n\r\n");
+    return exchange(chat_, "GET " + path + " HTTP/1.1\r\nConnection: close\r\n\r\n");
   }
   // Sends a request to the operator page.
   [[nodiscard]] std::string page(const std::string& method, const std::string& path) const {
-    return say(page_, method + " " + path + " HTTP/1.1\r\nContent-Length: 0\r\nConnection: close\r\n\r\n");
+    return exchange(page_,
+                    method + " " + path + " HTTP/1.1\r\nContent-Length: 0\r\nConnection: close\r\n\r\n");
   }
   [[nodiscard]] std::string agent() const { return TestConnection::to(agent_)->receive_all(); }
   // Whether the agent-check reports `line` within 5 s.
--- a/tests/integration/chat_test.cpp
+++ b/tests/integration/chat_test.cpp
@@ -256,7 +256,7 @@
     std::vector<std::thread> valid_clients;
     for (int i = 0; i < 100; ++i) {
       valid_clients.emplace_back([&] {
-        const std::string answer = Appliance::say(appliance.chat_address(), good);
+        const std::string answer = Appliance::exchange(appliance.chat_address(), good);
         has(answer, "[DONE]") ? void(++served) : other_answers.add(answer);
       });
     }
