--- a/tests/integration/admission_test.cpp
+++ b/tests/integration/admission_test.cpp
@@ -97,7 +97,7 @@
     const std::string answer = send_request(appliance, kAjuste, {wrong});
     CHECK(answer.starts_with("HTTP/1.1 401 Unauthorized"));
     CHECK(json_body(answer)["error"]["code"] == "invalid_api_key");
-    CHECK(has(answer, "x-should-retry: false"));
+    CHECK(contains(answer, "x-should-retry: false"));
   }
   CHECK(send_request(appliance, kAjuste, {norte}).starts_with("HTTP/1.1 403"));
   CHECK(send_request(appliance, kAjuste, {sur}).starts_with("HTTP/1.1 200"));
@@ -113,7 +113,7 @@
 
   const CommandResult list = run_bankmux({"key", "list", "--keys", keys.path(), "--json"});
   CHECK(json::parse(list.output).size() == 2);
-  CHECK_FALSE(has(list.output, "hash"));
+  CHECK_FALSE(contains(list.output, "hash"));
   CHECK(run_bankmux({"key", "revoke", "000000000000", "--keys", keys.path()}).code == 1);
   CHECK(run_bankmux({"key", "revoke", id_of(sur), "--keys", keys.path()}).code == 0);
   appliance.program().send_signal(SIGHUP);
@@ -125,7 +125,8 @@
   CHECK(gone);
   appliance.program().terminate();
   CHECK(appliance.program().wait() == 0);
-  for (const std::string& key : {norte, sur}) CHECK_FALSE(has(appliance.program().output(), key.substr(17)));
+  for (const std::string& key : {norte, sur})
+    CHECK_FALSE(contains(appliance.program().output(), key.substr(17)));
 }
 
 TEST_CASE(
@@ -146,15 +147,15 @@
   full = false;
   const std::string first = send_request(appliance, kAjuste, {norte});
   CHECK(first.starts_with("HTTP/1.1 200"));
-  CHECK(has(first, "x-ratelimit-limit-requests: 2\r\nx-ratelimit-remaining-requests: 1\r\n"));
-  CHECK(has(first, "x-ratelimit-reset-requests: "));
-  CHECK(has(first, "x-ratelimit-limit-tokens: 100000"));
+  CHECK(contains(first, "x-ratelimit-limit-requests: 2\r\nx-ratelimit-remaining-requests: 1\r\n"));
+  CHECK(contains(first, "x-ratelimit-reset-requests: "));
+  CHECK(contains(first, "x-ratelimit-limit-tokens: 100000"));
   CHECK(send_request(appliance, kAjuste, {norte}).starts_with("HTTP/1.1 200"));
   const std::string over = send_request(appliance, kAjuste, {norte});
   CHECK(over.starts_with("HTTP/1.1 429"));
   CHECK(json_body(over)["error"]["code"] == "rate_limit_exceeded");
-  CHECK(has(over, "x-should-retry: true"));
-  CHECK(has(over, "Retry-After: "));
+  CHECK(contains(over, "x-should-retry: true"));
+  CHECK(contains(over, "Retry-After: "));
   CHECK(send_request(appliance, kAjuste, {sur}).starts_with("HTTP/1.1 200"));
 
   const CommandResult shown = run_bankmux({"tenants", "--connect", appliance.page_address(), "--json"});
@@ -164,8 +165,8 @@
   CHECK(tenants[0]["limited"] == 1);
   CHECK(tenants[0]["tokens"] == 84);  // usage reported by the instance, twice
   CHECK(tenants[0]["keys"][0]["requests_per_minute"]["left"] == 0);
-  CHECK(has(run_bankmux({"tenants", "--connect", appliance.page_address()}).output, "0 of 2"));
-  CHECK(has(run_bankmux({"console", "--connect", appliance.page_address(), "--once"}).output, "norte"));
+  CHECK(contains(run_bankmux({"tenants", "--connect", appliance.page_address()}).output, "0 of 2"));
+  CHECK(contains(run_bankmux({"console", "--connect", appliance.page_address(), "--once"}).output, "norte"));
 }
 
 TEST_CASE(
@@ -198,9 +199,9 @@
     CHECK(held_off == 49);
     const std::string again = send_request(appliance, body, {"", key});
     CHECK(again.starts_with("HTTP/1.1 200"));
-    CHECK(has(again, "Idempotent-Replayed: true"));
-    CHECK(has(again, body == kStream ? kEvent : kWhole));
-    CHECK(has(again, body == kStream ? "\r\n0\r\n" : "Content-Length"));
+    CHECK(contains(again, "Idempotent-Replayed: true"));
+    CHECK(contains(again, body == kStream ? kEvent : kWhole));
+    CHECK(contains(again, body == kStream ? "\r\n0\r\n" : "Content-Length"));
   }
   CHECK(seen.count(kChat) == 2);
   CHECK(send_request(appliance, kStream, {"", "whole"}).starts_with("HTTP/1.1 422"));
@@ -208,7 +209,7 @@
   // The ledger survives a reload of the settings.
   appliance.reload(appliance.file());
   std::this_thread::sleep_for(100ms);
-  CHECK(has(send_request(appliance, kAjuste, {"", "whole"}), "Idempotent-Replayed: true"));
+  CHECK(contains(send_request(appliance, kAjuste, {"", "whole"}), "Idempotent-Replayed: true"));
   CHECK(seen.count(kChat) == 2);
 }
 
@@ -232,7 +233,7 @@
   const std::string again = send_request(appliance, kStream, {norte, "pedido-1"});
   CHECK(again.starts_with("HTTP/1.1 502"));
   CHECK(json_body(again)["error"]["code"] == "outcome_unknown");
-  CHECK(has(again, "x-should-retry: false"));
+  CHECK(contains(again, "x-should-retry: false"));
   CHECK(seen.count(kChat) == 1);
   // The reservation is settled and no request is open.
   const json tenants =
@@ -242,7 +243,7 @@
   const CommandResult shown =
       run_bankmux({"ledger", "show", "pedido-1", "--connect", appliance.page_address()});
   CHECK(shown.code == 0);
-  CHECK(has(shown.output, "outcome_unknown"));
+  CHECK(contains(shown.output, "outcome_unknown"));
   CHECK(run_bankmux({"ledger", "show", "other", "--connect", appliance.page_address()}).code == 1);
 }
 
@@ -268,18 +269,18 @@
   step = 1;
   const std::string served = send_request(appliance, kAjuste, {"", "a"});
   CHECK(served.starts_with("HTTP/1.1 200"));
-  CHECK(has(served, "x-should-retry: true"));  // because its key protects it
+  CHECK(contains(served, "x-should-retry: true"));  // because its key protects it
   step = 2;
   seen.clear();
-  CHECK(has(send_request(appliance, kAjuste, {"", "b"}), "outcome_unknown"));
+  CHECK(contains(send_request(appliance, kAjuste, {"", "b"}), "outcome_unknown"));
   step = 1;
-  CHECK(has(send_request(appliance, kAjuste, {"", "b"}), "outcome_unknown"));
+  CHECK(contains(send_request(appliance, kAjuste, {"", "b"}), "outcome_unknown"));
   CHECK(seen.count(kChat) == 1);
   // Without a key, the retry count header of the SDKs distinguishes a retry from a first try.
   step = 2;
-  CHECK(has(send_request(appliance, kAjuste, {"", "", "0"}), "outcome_unknown"));
+  CHECK(contains(send_request(appliance, kAjuste, {"", "", "0"}), "outcome_unknown"));
   step = 1;
-  CHECK(has(send_request(appliance, kAjuste, {"", "", "1"}), "outcome_unknown"));
+  CHECK(contains(send_request(appliance, kAjuste, {"", "", "1"}), "outcome_unknown"));
   CHECK(seen.count(kChat) == 2);
   CHECK(send_request(appliance, kAjuste, {"", "", "0"}).starts_with("HTTP/1.1 200"));
 }
@@ -299,13 +300,13 @@
   Appliance appliance({one.address()}, {{"keys", keys.path()}});
   const auto wire = appliance.connect();
   wire->send(request(kStream, {norte, "k"}));
-  CHECK(has(wire->receive_until(kEvent), "200 OK"));
+  CHECK(contains(wire->receive_until(kEvent), "200 OK"));
   CHECK(run_bankmux({"key", "revoke", id_of(norte), "--keys", keys.path()}).code == 0);
   appliance.program().send_signal(SIGHUP);
   std::this_thread::sleep_for(200ms);
   CHECK(send_request(appliance, kStream, {norte, "k"}).starts_with("HTTP/1.1 401"));
   hold = false;
-  CHECK(has(wire->receive_all(), "[DONE]"));
+  CHECK(contains(wire->receive_all(), "[DONE]"));
 }
 
 TEST_CASE("Admission: one tenant's flood of open requests leaves room for another tenant") {
@@ -355,7 +356,7 @@
   const CommandResult bad =
       run_bankmux({"key", "add", "--keys", keys.path(), "--tenant", std::string(65, 'x')});
   CHECK(bad.code == 2);
-  CHECK(has(bad.output, "tenant"));
+  CHECK(contains(bad.output, "tenant"));
   Appliance appliance({one.address()}, {{"keys", keys.path()}});
   ::chmod(keys.path().c_str(), 0644);
   appliance.program().send_signal(SIGHUP);
@@ -363,7 +364,7 @@
   CHECK(send_request(appliance, kAjuste, {norte}).starts_with("HTTP/1.1 200"));  // the old keys stay valid
   const CommandResult refused = run_bankmux({"key", "list", "--keys", keys.path()});
   CHECK(refused.code == 2);
-  CHECK(has(refused.output, "chmod 600"));
+  CHECK(contains(refused.output, "chmod 600"));
 }
 
 TEST_CASE("Admission: a refused retry does not refund an earlier attempt that may have run") {
--- a/tests/integration/appliance_test.cpp
+++ b/tests/integration/appliance_test.cpp
@@ -22,9 +22,9 @@
   }));
   Appliance appliance({one.address()});
   const std::string streamed = appliance.chat(Appliance::body("m-consulta", true));
-  CHECK(has(streamed, "text/event-stream"));
-  CHECK(has(streamed, "data: {\"choices\":[{\"delta\":{\"content\":\"ok\"}}]}\n\n"));
-  CHECK(has(streamed, "data: [DONE]\n\n"));
+  CHECK(contains(streamed, "text/event-stream"));
+  CHECK(contains(streamed, "data: {\"choices\":[{\"delta\":{\"content\":\"ok\"}}]}\n\n"));
+  CHECK(contains(streamed, "data: [DONE]\n\n"));
   const std::string whole = appliance.chat(Appliance::body("m-ajuste", false));
   CHECK(whole.starts_with("HTTP/1.1 200"));
   CHECK(json_body(whole)["object"] == "chat.completion");
@@ -54,7 +54,7 @@
   };
   for (const auto& [body, param] : invalid) {
     const std::string answer = appliance.chat(body);
-    CHECK(answer.starts_with(has(body, "other") ? "HTTP/1.1 404" : "HTTP/1.1 400"));
+    CHECK(answer.starts_with(contains(body, "other") ? "HTTP/1.1 404" : "HTTP/1.1 400"));
     const json error = json_body(answer)["error"];
     CHECK(error["type"] == "invalid_request_error");
     CHECK(error["param"] == param);
@@ -74,7 +74,7 @@
   Appliance appliance({one.address(), two.address()});
   const auto client = appliance.connect();
   client->send(Appliance::request(Appliance::body("m-ajuste", true)));
-  CHECK(has(client->receive_until("data: {\"x\":1}\n\n"), "data: "));
+  CHECK(contains(client->receive_until("data: {\"x\":1}\n\n"), "data: "));
   client->close();
   CHECK(seen.wait_for("stream ended"));
   std::this_thread::sleep_for(std::chrono::milliseconds(300));
@@ -91,10 +91,10 @@
   ScriptedServer one(instance_script(seen, chat)), two(instance_script(seen, chat));
   Appliance appliance({one.address(), two.address()});
   const std::string answer = appliance.chat(Appliance::body("m-consulta", true));
-  CHECK(has(answer, "data: {\"x\":1}\n\n"));
-  CHECK(has(answer, "data: " + error + "\n\n"));
+  CHECK(contains(answer, "data: {\"x\":1}\n\n"));
+  CHECK(contains(answer, "data: " + error + "\n\n"));
   CHECK(count_responses(answer) == 1);
-  CHECK_FALSE(has(answer, "\r\n0\r\n"));  // an incomplete stream has no final chunk
+  CHECK_FALSE(contains(answer, "\r\n0\r\n"));  // an incomplete stream has no final chunk
   CHECK(seen.count(kChat) == 1);
   CHECK(json_body(appliance.page("GET", "/-/status"))["requests"]["broken"] == 1);
 }
@@ -107,9 +107,9 @@
   }));
   Appliance appliance({one.address()});
   const std::string answer = appliance.chat(Appliance::body("m-ajuste", true));
-  CHECK(has(answer, "data: {\"x\":1}\n\n"));
-  CHECK(has(answer, "\"code\":\"stream_broken\""));
-  CHECK_FALSE(has(answer, "\r\n0\r\n"));
+  CHECK(contains(answer, "data: {\"x\":1}\n\n"));
+  CHECK(contains(answer, "\"code\":\"stream_broken\""));
+  CHECK_FALSE(contains(answer, "\r\n0\r\n"));
   CHECK(seen.count(kChat) == 1);
 }
 
@@ -145,9 +145,9 @@
       CHECK(answer.starts_with("HTTP/1.1 " + std::to_string(c.answer)));
       CHECK(count_responses(answer) == 1);
       CHECK(json_body(answer).contains("error"));
-      CHECK(has(answer, "Retry-After: ") == c.may_retry);
-      CHECK(has(answer, std::string("x-should-retry: ") + (c.may_retry ? "true" : "false")));
-      CHECK(has(answer, "nothing was run") == (c.answer == 503));
+      CHECK(contains(answer, "Retry-After: ") == c.may_retry);
+      CHECK(contains(answer, std::string("x-should-retry: ") + (c.may_retry ? "true" : "false")));
+      CHECK(contains(answer, "nothing was run") == (c.answer == 503));
       CHECK(seen.count(kChat) >= c.min_attempts);
       CHECK(seen.count(kChat) <= c.max_attempts);
     }
@@ -184,9 +184,9 @@
   CHECK(appliance.agent() == "up 50%\n");
   Program console({"console", "--once", "--connect", appliance.page_address()}, {});
   CHECK(console.wait() == 0);
-  CHECK(has(console.output(), "caja   up 50%"));
-  CHECK(has(console.output(), "b1"));
-  CHECK(has(console.output(), "drain"));
+  CHECK(contains(console.output(), "caja   up 50%"));
+  CHECK(contains(console.output(), "b1"));
+  CHECK(contains(console.output(), "drain"));
 
   two.reset();  // the instance stops
   CHECK(appliance.agent_reports("down\n"));
@@ -234,15 +234,15 @@
   new_file["boxes"].push_back({{"id", "b2"}, {"address", two.address()}});
   new_file["models"].push_back({{"name", "m-new"}, {"class", "consulta"}});
   appliance.reload(new_file);
-  for (int i = 0; i < 250 && !has(appliance.get("/v1/models"), "m-new"); ++i) {
+  for (int i = 0; i < 250 && !contains(appliance.get("/v1/models"), "m-new"); ++i) {
     std::this_thread::sleep_for(std::chrono::milliseconds(20));
   }
-  CHECK(has(appliance.chat(Appliance::body("m-new", true)), "[DONE]"));
+  CHECK(contains(appliance.chat(Appliance::body("m-new", true)), "[DONE]"));
   CHECK(first_seen.count(kChat) == 0);
   CHECK(second_seen.count(kChat) == 1);
   new_file["boxes"] = json::array();
   appliance.reload(new_file);
-  CHECK(has(appliance.chat(Appliance::body("m-new", true)), "[DONE]"));
+  CHECK(contains(appliance.chat(Appliance::body("m-new", true)), "[DONE]"));
 }
 
 TEST_CASE("The console marks the selected instance and fits the terminal width") {
@@ -252,12 +252,12 @@
     "attempts":7},"boxes":[{"id":"b1","address":"127.0.0.1:9001","state":"up","weight":1.0,"out":2},
     {"id":"b2","address":"127.0.0.1:9002","state":"drain","weight":0.5,"out":1}]})");
   const std::string rendered = bankmux::app::render_status(status, 100, 1);
-  CHECK(has(rendered, "open 3 of 10 [######"));
-  CHECK(has(rendered, "> b2"));
-  CHECK_FALSE(has(rendered, "> b1"));
+  CHECK(contains(rendered, "open 3 of 10 [######"));
+  CHECK(contains(rendered, "> b2"));
+  CHECK_FALSE(contains(rendered, "> b1"));
   for (std::size_t begin = 0, end = 0; (end = rendered.find('\n', begin)) != std::string::npos;
        begin = end + 1) {
     CHECK(end - begin <= 100);
   }
-  CHECK(has(bankmux::app::render_status(status, 12, 1), "caja   up 75\n"));
+  CHECK(contains(bankmux::app::render_status(status, 12, 1), "caja   up 75\n"));
 }
--- a/tests/integration/appliance_world.hpp
+++ b/tests/integration/appliance_world.hpp
@@ -12,7 +12,7 @@
 
 namespace integration {
 
-inline bool has(const std::string& text, const std::string& part) {
+inline bool contains(const std::string& text, const std::string& part) {
   return text.find(part) != std::string::npos;
 }
 
--- a/tests/integration/chat_test.cpp
+++ b/tests/integration/chat_test.cpp
@@ -41,11 +41,11 @@
   for (cut = 0; cut < cut_event.size(); ++cut) {
     const std::string answer = appliance.chat(Appliance::body("m-ajuste", true));
     INFO("cut at " << cut << ": " << answer);
-    CHECK(has(answer, kEvent));
-    CHECK_FALSE(has(answer, "never"));
-    CHECK(has(answer, "\r\ndata: {\"error\""));  // at the beginning of a chunk, and therefore of a line
-    CHECK(has(answer, "stream_broken"));
-    CHECK_FALSE(has(answer, "\r\n0\r\n"));
+    CHECK(contains(answer, kEvent));
+    CHECK_FALSE(contains(answer, "never"));
+    CHECK(contains(answer, "\r\ndata: {\"error\""));  // at the beginning of a chunk, and therefore of a line
+    CHECK(contains(answer, "stream_broken"));
+    CHECK_FALSE(contains(answer, "\r\n0\r\n"));
   }
   CHECK(seen.count(kChat) == int(cut_event.size()));
 }
@@ -68,7 +68,7 @@
     client_progress.add("has the first");
     answer += client->receive_all();
     INFO("cut at " << cut << ": " << answer);
-    CHECK(has(answer, last + "\r\n0\r\n\r\n"));
+    CHECK(contains(answer, last + "\r\n0\r\n\r\n"));
   }
 }
 
@@ -99,8 +99,8 @@
   const std::string answer = client->receive_all();
   CHECK(sent == kEvents);
   CHECK(answer.size() > kEvents * kSize);
-  CHECK(has(answer, "[DONE]"));
-  CHECK_FALSE(has(answer, "stream_broken"));
+  CHECK(contains(answer, "[DONE]"));
+  CHECK_FALSE(contains(answer, "stream_broken"));
 }
 
 TEST_CASE("Chat: a consulta that fails at one instance is retried at the idle one every time") {
@@ -127,7 +127,7 @@
   const std::string answer = client->receive_all();
   CHECK(answer.starts_with("HTTP/1.1 413"));
   CHECK(json_body(answer)["error"]["code"] == "body_too_large");
-  CHECK(has(answer, "x-should-retry: false"));
+  CHECK(contains(answer, "x-should-retry: false"));
   CHECK(seen.all().empty());
 }
 
@@ -153,7 +153,7 @@
   CHECK(count("HTTP/1.1 200") == 2);
   CHECK(count("HTTP/1.1 503") == 1);
   for (const std::string& answer : answers) {
-    if (answer.starts_with("HTTP/1.1 503")) CHECK(has(answer, "Retry-After-Ms: "));
+    if (answer.starts_with("HTTP/1.1 503")) CHECK(contains(answer, "Retry-After-Ms: "));
   }
   CHECK(seen.count(kChat) == 2);
 }
@@ -218,7 +218,7 @@
   CHECK(answered + closed == 10'000);
   CHECK(answered > 9'000);
   CHECK(seen.all().empty());
-  CHECK(has(appliance.chat(good), "[DONE]"));
+  CHECK(contains(appliance.chat(good), "[DONE]"));
   // A build with sanitizers reports its findings at exit.
   appliance.program().terminate();
   CHECK(appliance.program().wait() == 0);
@@ -257,7 +257,7 @@
     for (int i = 0; i < 100; ++i) {
       valid_clients.emplace_back([&] {
         const std::string answer = Appliance::exchange(appliance.chat_address(), good);
-        has(answer, "[DONE]") ? void(++served) : other_answers.add(answer);
+        contains(answer, "[DONE]") ? void(++served) : other_answers.add(answer);
       });
     }
     for (std::thread& client : valid_clients) client.join();
--- a/tests/integration/recovery_test.cpp
+++ b/tests/integration/recovery_test.cpp
@@ -151,7 +151,7 @@
   ScriptedServer one(script), two(script);
   Appliance appliance({one.address(), two.address()}, with_continuation());
   const std::string answer = appliance.chat(Appliance::body("m-ajuste", true));
-  CHECK(has(answer, "look before asking again"));
+  CHECK(contains(answer, "look before asking again"));
   CHECK_FALSE(parse_stream(answer).whole);
   CHECK(seen.count(kChat) == 1);
 }
@@ -178,7 +178,7 @@
   CHECK(seen.count(kChat) == 3);
   deaths = 1000;
   const std::string broken = appliance.chat(kConsulta);
-  CHECK(has(broken, "stream_broken"));
+  CHECK(contains(broken, "stream_broken"));
   CHECK(parse_stream(broken).text.size() < whole_text().size());
   CHECK(count_responses(broken) == 1);
 }
@@ -212,7 +212,7 @@
     CHECK(whole_text().starts_with(h.text));
     CHECK(h.error);
     CHECK_FALSE(h.whole);
-    CHECK(has(answer, "stream_broken"));
+    CHECK(contains(answer, "stream_broken"));
     CHECK(count_responses(answer) == 1);
   }
 }
@@ -240,7 +240,7 @@
   const ParsedStream h = parse_stream(answer);
   CHECK(h.text == whole_text());
   CHECK(h.whole);
-  CHECK_FALSE(has(answer, "late"));
+  CHECK_FALSE(contains(answer, "late"));
   CHECK(seen.wait_for("frozen closed"));
   CHECK(seen.count("goes on") == 1);
 }
@@ -280,6 +280,6 @@
   });
   ScriptedServer one(script), two(script);
   Appliance appliance({one.address(), two.address()});
-  CHECK(has(appliance.chat(kConsulta), "stream_broken"));
+  CHECK(contains(appliance.chat(kConsulta), "stream_broken"));
   CHECK(seen.count(kChat) == 1);
 }
