--- a/tests/fleet/fleet_rig.hpp
+++ b/tests/fleet/fleet_rig.hpp
@@ -11,7 +11,7 @@
 #include <string>
 #include <vector>
 
-#include "integration/appliance_world.hpp"
+#include "integration/appliance_fixture.hpp"
 
 namespace fleet {
 
--- a/tests/integration/admission_test.cpp
+++ b/tests/integration/admission_test.cpp
@@ -6,7 +6,7 @@
 #include <catch2/catch.hpp>
 #include <csignal>
 
-#include "appliance_world.hpp"
+#include "appliance_fixture.hpp"
 
 using namespace integration;
 using nlohmann::json;
--- a/tests/integration/appliance_test.cpp
+++ b/tests/integration/appliance_test.cpp
@@ -4,7 +4,7 @@
 #include <csignal>
 
 #include "app/console.hpp"
-#include "appliance_world.hpp"
+#include "appliance_fixture.hpp"
 
 using namespace integration;
 using nlohmann::json;
--- a/tests/integration/chat_test.cpp
+++ b/tests/integration/chat_test.cpp
@@ -4,7 +4,7 @@
 #include <catch2/catch.hpp>
 #include <random>
 
-#include "appliance_world.hpp"
+#include "appliance_fixture.hpp"
 
 using namespace integration;
 using nlohmann::json;
--- a/tests/integration/recovery_test.cpp
+++ b/tests/integration/recovery_test.cpp
@@ -2,7 +2,7 @@
 #include <atomic>
 #include <catch2/catch.hpp>
 
-#include "appliance_world.hpp"
+#include "appliance_fixture.hpp"
 
 using namespace integration;
 using nlohmann::json;
