--- a/src/app/fleet_coordination.hpp
+++ b/src/app/fleet_coordination.hpp
@@ -35,7 +35,7 @@
   net::InstanceMonitor& monitor_;
   net::Mailbox mailbox_;
   coordination::SqliteStore store_;
-  duties::FleetView probe_reports_;
+  duties::SharedHealthView probe_reports_;
   duties::DutyRunner runner_;
   std::uint64_t report_number_ = 0;
   bool publishing_ = false;
--- a/src/duties/fleet_view.cpp
+++ b/src/duties/fleet_view.cpp
@@ -26,7 +26,7 @@
   return report;
 }
 
-bool FleetView::heard(Time now, std::uint64_t revision, std::string_view text) {
+bool SharedHealthView::heard(Time now, std::uint64_t revision, std::string_view text) {
   if (revision <= revision_) return false;
   auto report = decode_report(text);
   // An unreadable report is ignored; the previous one stays until it is too old.
@@ -37,17 +37,17 @@
   return true;
 }
 
-bool FleetView::asks(Time now, bool owner) const {
+bool SharedHealthView::asks(Time now, bool owner) const {
   return owner || !received_at_ || now - *received_at_ >= max_age_;
 }
 
-std::optional<bool> FleetView::runs(Time now, const std::string& instance) const {
+std::optional<bool> SharedHealthView::runs(Time now, const std::string& instance) const {
   if (!received_at_ || now - *received_at_ >= max_age_) return std::nullopt;
   const auto it = report_.runs.find(instance);
   return it == report_.runs.end() ? std::nullopt : std::optional(it->second);
 }
 
-std::optional<Time> FleetView::age(Time now) const {
+std::optional<Time> SharedHealthView::age(Time now) const {
   return received_at_ ? std::optional(now - *received_at_) : std::nullopt;
 }
 
--- a/src/duties/fleet_view.hpp
+++ b/src/duties/fleet_view.hpp
@@ -31,10 +31,10 @@
 
 // The latest report, as seen by one member. Its age counts from when this member first saw it, so that clocks
 // of other machines do not matter.
-class FleetView {
+class SharedHealthView {
  public:
   // `max_age`: how long a report replaces this member's own checks.
-  explicit FleetView(Time max_age) : max_age_(max_age) {}
+  explicit SharedHealthView(Time max_age) : max_age_(max_age) {}
 
   // Takes the stored report and the revision of its last write. Returns true if it was newer and valid.
   bool heard(Time now, std::uint64_t revision, std::string_view text);
--- a/tests/fleet_view_test.cpp
+++ b/tests/fleet_view_test.cpp
@@ -29,7 +29,7 @@
 }
 
 TEST_CASE("A fresh report replaces own probes and the duty's owner always probes") {
-  FleetView view(600ms);
+  SharedHealthView view(600ms);
   CHECK(view.asks(0s, false));  // no report has been received yet
   CHECK(view.heard(1s, 5, encode({1, {{"a", true}, {"b", false}}})));
   CHECK_FALSE(view.asks(1s, false));
