--- a/src/duties/fleet_view.cpp
+++ b/src/duties/fleet_view.cpp
@@ -6,22 +6,22 @@
 
 using nlohmann::json;
 
-std::string encode(const Report& report) {
-  return json{{"number", report.number}, {"runs", report.runs}}.dump(-1, ' ', false,
-                                                                     json::error_handler_t::replace);
+std::string encode(const HealthReport& report) {
+  return json{{"number", report.number}, {"runs", report.running}}.dump(-1, ' ', false,
+                                                                        json::error_handler_t::replace);
 }
 
-std::optional<Report> decode_report(std::string_view text) {
+std::optional<HealthReport> decode_report(std::string_view text) {
   const json value = json::parse(text, nullptr, false);
   if (!value.is_object() || !value.contains("number") || !value["number"].is_number_unsigned() ||
       !value.contains("runs") || !value["runs"].is_object() || value["runs"].size() > kMostBoxes) {
     return std::nullopt;
   }
-  Report report;
+  HealthReport report;
   report.number = value["number"].get<std::uint64_t>();
   for (const auto& [instance, runs] : value["runs"].items()) {
     if (!runs.is_boolean()) return std::nullopt;
-    report.runs[instance] = runs.get<bool>();
+    report.running[instance] = runs.get<bool>();
   }
   return report;
 }
@@ -43,8 +43,8 @@
 
 std::optional<bool> SharedHealthView::runs(Time now, const std::string& instance) const {
   if (!received_at_ || now - *received_at_ >= max_age_) return std::nullopt;
-  const auto it = report_.runs.find(instance);
-  return it == report_.runs.end() ? std::nullopt : std::optional(it->second);
+  const auto it = report_.running.find(instance);
+  return it == report_.running.end() ? std::nullopt : std::optional(it->second);
 }
 
 std::optional<Time> SharedHealthView::age(Time now) const {
--- a/src/duties/fleet_view.hpp
+++ b/src/duties/fleet_view.hpp
@@ -20,14 +20,14 @@
 constexpr std::string_view kOutPrefix = "out/";     // instances that operators have drained fleet-wide
 constexpr std::size_t kMostBoxes = 4096;            // most instances in one report
 
-struct Report {
-  std::uint64_t number = 0;          // increases with each report of one owner
-  std::map<std::string, bool> runs;  // by instance: whether it answered, as far as the prober knows
+struct HealthReport {
+  std::uint64_t number = 0;             // increases with each report of one owner
+  std::map<std::string, bool> running;  // by instance: whether it answered, as far as the prober knows
 };
 
-std::string encode(const Report& report);
+std::string encode(const HealthReport& report);
 // Returns nothing if the text is not in the format of encode().
-std::optional<Report> decode_report(std::string_view text);
+std::optional<HealthReport> decode_report(std::string_view text);
 
 // The latest report, as seen by one member. Its age counts from when this member first saw it, so that clocks
 // of other machines do not matter.
@@ -49,7 +49,7 @@
   Time max_age_;
   std::uint64_t revision_ = 0;
   std::optional<Time> received_at_;
-  Report report_;
+  HealthReport report_;
 };
 
 }  // namespace bankmux::duties
--- a/tests/fleet_view_test.cpp
+++ b/tests/fleet_view_test.cpp
@@ -10,15 +10,15 @@
 
 TEST_CASE("A report of the probing member decodes to what was encoded and invalid text decodes to nothing") {
   CHECK(rc::check("encode, decode", [] {
-    Report report;
+    HealthReport report;
     report.number = *rc::gen::arbitrary<std::uint64_t>();
     const auto names = *rc::gen::container<std::set<std::string>>(
         rc::gen::container<std::string>(rc::gen::inRange('a', 'z')));
-    for (const std::string& name : names) report.runs[name] = *rc::gen::arbitrary<bool>();
+    for (const std::string& name : names) report.running[name] = *rc::gen::arbitrary<bool>();
     const auto back = decode_report(encode(report));
     RC_ASSERT(back.has_value());
     RC_ASSERT(back->number == report.number);
-    RC_ASSERT(back->runs == report.runs);
+    RC_ASSERT(back->running == report.running);
     const std::string text = encode(report);
     RC_ASSERT(!decode_report(text.substr(0, *rc::gen::inRange<std::size_t>(0, text.size()))));
   }));
