--- a/src/app/fleet_coordination.cpp
+++ b/src/app/fleet_coordination.cpp
@@ -45,8 +45,8 @@
               [](const std::string& message) { log::write("duty", message); }) {
   const std::string prober(duties::kProber);
   monitor_.share_probing(
-      {[this, prober] { return probe_reports_.asks(loop_.now(), runner_.grant(prober).has_value()); },
-       [this](const std::string& instance) { return probe_reports_.runs(loop_.now(), instance); },
+      {[this, prober] { return probe_reports_.must_check(loop_.now(), runner_.grant(prober).has_value()); },
+       [this](const std::string& instance) { return probe_reports_.is_running(loop_.now(), instance); },
        [this](const std::map<std::string, bool>& running) { publish_report(running); }});
   page.share_operations({[this](const std::string& id, bool drained, std::function<void(bool)> done) {
                            const std::string key = std::string(duties::kOutPrefix) + id;
@@ -72,7 +72,7 @@
     if (entry.key.starts_with(duties::kOutPrefix)) {
       drained.insert(entry.key.substr(duties::kOutPrefix.size()));
     } else {
-      (void)probe_reports_.heard(loop_.now(), entry.modified, entry.value);
+      (void)probe_reports_.update(loop_.now(), entry.modified, entry.value);
     }
   }
   monitor_.set_drained(drained);
--- a/src/duties/fleet_view.cpp
+++ b/src/duties/fleet_view.cpp
@@ -26,7 +26,7 @@
   return report;
 }
 
-bool SharedHealthView::heard(Time now, std::uint64_t revision, std::string_view text) {
+bool SharedHealthView::update(Time now, std::uint64_t revision, std::string_view text) {
   if (revision <= revision_) return false;
   auto report = decode_report(text);
   // An unreadable report is ignored; the previous one stays until it is too old.
@@ -37,11 +37,11 @@
   return true;
 }
 
-bool SharedHealthView::asks(Time now, bool owner) const {
+bool SharedHealthView::must_check(Time now, bool owner) const {
   return owner || !received_at_ || now - *received_at_ >= max_age_;
 }
 
-std::optional<bool> SharedHealthView::runs(Time now, const std::string& instance) const {
+std::optional<bool> SharedHealthView::is_running(Time now, const std::string& instance) const {
   if (!received_at_ || now - *received_at_ >= max_age_) return std::nullopt;
   const auto it = report_.running.find(instance);
   return it == report_.running.end() ? std::nullopt : std::optional(it->second);
--- a/src/duties/fleet_view.hpp
+++ b/src/duties/fleet_view.hpp
@@ -37,11 +37,11 @@
   explicit SharedHealthView(Time max_age) : max_age_(max_age) {}
 
   // Takes the stored report and the revision of its last write. Returns true if it was newer and valid.
-  bool heard(Time now, std::uint64_t revision, std::string_view text);
+  bool update(Time now, std::uint64_t revision, std::string_view text);
   // Whether this member has to check the instances itself: it owns the duty, or there is no recent report.
-  [[nodiscard]] bool asks(Time now, bool owner) const;
+  [[nodiscard]] bool must_check(Time now, bool owner) const;
   // Whether an instance answered, by a recent report; nothing if the report does not contain the instance.
-  [[nodiscard]] std::optional<bool> runs(Time now, const std::string& instance) const;
+  [[nodiscard]] std::optional<bool> is_running(Time now, const std::string& instance) const;
   // Time since this member first saw the latest report.
   [[nodiscard]] std::optional<Time> age(Time now) const;
 
--- a/tests/fleet_view_test.cpp
+++ b/tests/fleet_view_test.cpp
@@ -30,20 +30,20 @@
 
 TEST_CASE("A fresh report replaces own probes and the duty's owner always probes") {
   SharedHealthView view(600ms);
-  CHECK(view.asks(0s, false));  // no report has been received yet
-  CHECK(view.heard(1s, 5, encode({1, {{"a", true}, {"b", false}}})));
-  CHECK_FALSE(view.asks(1s, false));
-  CHECK(view.asks(1s, true));
-  CHECK(view.runs(1s, "a") == true);
-  CHECK(view.runs(1s, "b") == false);
-  CHECK_FALSE(view.runs(1s, "c"));
+  CHECK(view.must_check(0s, false));  // no report has been received yet
+  CHECK(view.update(1s, 5, encode({1, {{"a", true}, {"b", false}}})));
+  CHECK_FALSE(view.must_check(1s, false));
+  CHECK(view.must_check(1s, true));
+  CHECK(view.is_running(1s, "a") == true);
+  CHECK(view.is_running(1s, "b") == false);
+  CHECK_FALSE(view.is_running(1s, "c"));
   // Reading a report again does not make it newer. An older report or an invalid one changes nothing.
-  CHECK_FALSE(view.heard(1500ms, 5, encode({1, {{"a", false}}})));
-  CHECK_FALSE(view.heard(1500ms, 4, encode({9, {{"a", false}}})));
-  CHECK_FALSE(view.heard(1500ms, 6, "nonsense"));
-  CHECK(view.runs(1500ms, "a") == true);
-  CHECK(view.asks(1600ms, false));
-  CHECK_FALSE(view.runs(1600ms, "a"));
-  CHECK(view.heard(1700ms, 7, encode({1, {{"a", false}}})));  // from a new owner, whose numbers start anew
-  CHECK(view.runs(1700ms, "a") == false);
+  CHECK_FALSE(view.update(1500ms, 5, encode({1, {{"a", false}}})));
+  CHECK_FALSE(view.update(1500ms, 4, encode({9, {{"a", false}}})));
+  CHECK_FALSE(view.update(1500ms, 6, "nonsense"));
+  CHECK(view.is_running(1500ms, "a") == true);
+  CHECK(view.must_check(1600ms, false));
+  CHECK_FALSE(view.is_running(1600ms, "a"));
+  CHECK(view.update(1700ms, 7, encode({1, {{"a", false}}})));  // from a new owner, whose numbers start anew
+  CHECK(view.is_running(1700ms, "a") == false);
 }
