--- a/src/app/fleet_coordination.cpp
+++ b/src/app/fleet_coordination.cpp
@@ -48,20 +48,20 @@
       {[this, prober] { return probe_reports_.must_check(loop_.now(), runner_.grant(prober).has_value()); },
        [this](const std::string& instance) { return probe_reports_.is_running(loop_.now(), instance); },
        [this](const std::map<std::string, bool>& running) { publish_report(running); }});
-  page.share_operations({[this](const std::string& id, bool drained, std::function<void(bool)> done) {
-                           const std::string key = std::string(duties::kOutPrefix) + id;
-                           runner_.say(drained ? coordination::Write(coordination::Put{key, "out", 0})
-                                               : coordination::Write(coordination::Erase{key}),
-                                       std::move(done));
-                         },
-                         [this] {
-                           nlohmann::json all = runner_.describe();
-                           all["boxes_asked"] = monitor_.probes_sent();
-                           const auto age = probe_reports_.age(loop_.now());
-                           all["report_age_s"] =
-                               age ? nlohmann::json(double(age->count()) / 1e6) : nlohmann::json();
-                           return all;
-                         }});
+  page.share_operations(
+      {[this](const std::string& id, bool drained, std::function<void(bool)> done) {
+         const std::string key = std::string(duties::kOutPrefix) + id;
+         runner_.write_operator_command(drained ? coordination::Write(coordination::Put{key, "out", 0})
+                                                : coordination::Write(coordination::Erase{key}),
+                                        std::move(done));
+       },
+       [this] {
+         nlohmann::json all = runner_.describe();
+         all["boxes_asked"] = monitor_.probes_sent();
+         const auto age = probe_reports_.age(loop_.now());
+         all["report_age_s"] = age ? nlohmann::json(double(age->count()) / 1e6) : nlohmann::json();
+         return all;
+       }});
   runner_.start({std::string(duties::kOutPrefix), ownership::state_key(duties::kProber, duties::kReportName)},
                 [this](const std::vector<coordination::Entry>& entries) { apply_entries(entries); });
 }
--- a/src/duties/duty_runner.cpp
+++ b/src/duties/duty_runner.cpp
@@ -168,7 +168,7 @@
       });
 }
 
-void DutyRunner::say(coordination::Write write, std::function<void(bool)> done) {
+void DutyRunner::write_operator_command(coordination::Write write, std::function<void(bool)> done) {
   ++store_calls_;
   store_.transact({{}, {std::move(write)}, {}}, [alive = std::weak_ptr<bool>(alive_),
                                                  done = std::move(done)](const coordination::Result& r) {
--- a/src/duties/duty_runner.hpp
+++ b/src/duties/duty_runner.hpp
@@ -40,7 +40,7 @@
              std::function<void(bool)> done);
   // Writes an operator's command for the whole fleet. It needs no grant; the last write wins. `done(false)`
   // means that it may or may not have been written, and the operator is asked to call again.
-  void say(coordination::Write write, std::function<void(bool)> done);
+  void write_operator_command(coordination::Write write, std::function<void(bool)> done);
 
   // For the operator page: members, and for each duty its owner, token, time of ownership, last write, and
   // numbers of applied and rejected writes.
