--- a/src/app/fleet_coordination.cpp
+++ b/src/app/fleet_coordination.cpp
@@ -27,7 +27,7 @@
   s.time_to_live = c.lease;
   s.margin = std::min<core::Duration>(kLeaseMargin, c.lease / 3);
   s.drift = 0.0;  // all members run on one machine and share its clock
-  s.dwell = c.lease / 2;
+  s.min_ownership_time = c.lease / 2;
   return s;
 }
 
--- a/src/ownership/ownership.cpp
+++ b/src/ownership/ownership.cpp
@@ -148,7 +148,7 @@
     // if this member has become its preferred owner again.
     const bool released = released_tokens_.contains(record->second.token);
     if (preferred && !released) continue;
-    const Time release_at = owned_since_[duty] + settings_.dwell;
+    const Time release_at = owned_since_[duty] + settings_.min_ownership_time;
     if (now < release_at && !released) {
       next_due_ = std::min(next_due_, release_at);
       continue;
@@ -288,7 +288,7 @@
     }
     text += ';';
   }
-  for (const auto& [duty, at] : owned_since_) time(at + settings_.dwell);
+  for (const auto& [duty, at] : owned_since_) time(at + settings_.min_ownership_time);
   for (const Revision token : released_tokens_) add(std::int64_t(token));
   return text;
 }
--- a/src/ownership/ownership.hpp
+++ b/src/ownership/ownership.hpp
@@ -36,7 +36,7 @@
   Duration margin{1'000'000};
   double drift = 0.01;  // largest fraction by which this clock may run slower than the store's
   // Minimum time that a member keeps a duty before it releases it to another member.
-  Duration dwell{5'000'000};
+  Duration min_ownership_time{5'000'000};
   // Wait after a failed call: doubled for each consecutive failure, then reduced by a random share of up to
   // one half.
   Duration initial_backoff{100'000}, max_backoff{5'000'000};
--- a/tests/ownership_model.hpp
+++ b/tests/ownership_model.hpp
@@ -147,7 +147,7 @@
       settings.time_to_live = Time(kLeaseUnits);
       settings.margin = Time(settings_.margin);
       settings.drift = 0.0;
-      settings.dwell = Time(1);
+      settings.min_ownership_time = Time(1);
       settings.initial_backoff = settings.max_backoff = Time(1);
       state.members.push_back({ownership::Ownership(settings), {}, {}, {}, false});
     }
