--- a/src/app/fleet_coordination.cpp
+++ b/src/app/fleet_coordination.cpp
@@ -21,7 +21,7 @@
 
 ownership::Settings ownership_settings(const config::Coordination& c) {
   ownership::Settings s;
-  s.self = c.member;
+  s.member_name = c.member;
   s.incarnation = (std::uint64_t(std::random_device{}()) << 32) | std::random_device{}();
   s.duties = {std::string(duties::kProber)};
   s.time_to_live = c.lease;
--- a/src/duties/duty_runner.cpp
+++ b/src/duties/duty_runner.cpp
@@ -179,12 +179,10 @@
 nlohmann::json DutyRunner::describe() const {
   const ownership::Time now = clock_();
   const auto seconds = [now](ownership::Time then) { return double((now - then).count()) / 1e6; };
-  nlohmann::json out = {{"member", settings_.self},
-                        {"store", last_failure_.empty() ? "answers" : last_failure_},
-                        {"set_back", ownership_.rolled_back()},
-                        {"store_calls", store_calls_},
-                        {"members", nlohmann::json::array()},
-                        {"duties", nlohmann::json::array()}};
+  nlohmann::json out = {
+      {"member", settings_.member_name},      {"store", last_failure_.empty() ? "answers" : last_failure_},
+      {"set_back", ownership_.rolled_back()}, {"store_calls", store_calls_},
+      {"members", nlohmann::json::array()},   {"duties", nlohmann::json::array()}};
   for (const auto& [name, record] : ownership_.members()) out["members"].push_back(name);
   for (const ownership::Duty& duty : settings_.duties) {
     nlohmann::json row = {{"duty", duty}, {"owner", nullptr}};
--- a/src/ownership/ownership.cpp
+++ b/src/ownership/ownership.cpp
@@ -55,11 +55,11 @@
 Ownership::Ownership(Settings settings) : settings_(std::move(settings)) {}
 
 std::string Ownership::identity() const {
-  return settings_.self + ' ' + std::to_string(settings_.incarnation);
+  return settings_.member_name + ' ' + std::to_string(settings_.incarnation);
 }
 
 bool Ownership::is_own(const OwnerRecord& record) const {
-  return lease_ != 0 && record.lease == lease_ && record.owner == settings_.self &&
+  return lease_ != 0 && record.lease == lease_ && record.owner == settings_.member_name &&
          record.incarnation == settings_.incarnation;
 }
 
@@ -122,8 +122,8 @@
   if (now >= renew_at_) return make_call(Call::Kind::keep_alive);
   if (stale_) return make_call(Call::Kind::read, {{}, {}, all_prefixes});
   if (!joined_) {
-    return make_call(Call::Kind::join, {{{member_key(settings_.self), 0}},
-                                        {Put{member_key(settings_.self), identity(), lease_}},
+    return make_call(Call::Kind::join, {{{member_key(settings_.member_name), 0}},
+                                        {Put{member_key(settings_.member_name), identity(), lease_}},
                                         all_prefixes});
   }
   return rebalance_duties(now);
@@ -135,11 +135,11 @@
   next_due_ = renew_at_;
   for (const Duty& duty : settings_.duties) {
     const auto record = owners_.find(duty);
-    const bool preferred = preferred_owner(duty) == settings_.self;
+    const bool preferred = preferred_owner(duty) == settings_.member_name;
     if (record == owners_.end()) {
       if (!preferred) continue;
       return make_call(Call::Kind::claim,
-                       {{{duty_key(duty), 0}, {member_key(settings_.self), joined_revision_}},
+                       {{{duty_key(duty), 0}, {member_key(settings_.member_name), joined_revision_}},
                         {Put{duty_key(duty), identity(), lease_}},
                         {duty_key(duty)}});
     }
@@ -230,7 +230,7 @@
     if (entry.key.starts_with(kMemberPrefix)) {
       const std::string name = entry.key.substr(kMemberPrefix.size());
       members_[name] = *record;
-      if (name == settings_.self && is_own(*record)) {
+      if (name == settings_.member_name && is_own(*record)) {
         joined_ = true;
         joined_revision_ = entry.modified;
       }
--- a/src/ownership/ownership.hpp
+++ b/src/ownership/ownership.hpp
@@ -26,7 +26,7 @@
 using Duty = std::string;
 
 struct Settings {
-  std::string self;  // this member's name: letters, digits, '-', '_' and '.'
+  std::string member_name;  // this member's name: letters, digits, '-', '_' and '.'
   // Random per process start: distinguishes a restarted member from its predecessor, whose lease may still
   // run.
   std::uint64_t incarnation = 0;
--- a/tests/ownership_model.hpp
+++ b/tests/ownership_model.hpp
@@ -141,7 +141,7 @@
     State state;
     for (int i = 0; i < settings_.members; ++i) {
       ownership::Settings settings;
-      settings.self = "m" + std::to_string(i);
+      settings.member_name = "m" + std::to_string(i);
       settings.incarnation = std::uint64_t(i + 1);
       settings.duties = settings_.duties;
       settings.time_to_live = Time(kLeaseUnits);
--- a/tests/ownership_test.cpp
+++ b/tests/ownership_test.cpp
@@ -30,7 +30,7 @@
 
   Ownership& add_member(const std::string& name, std::uint64_t incarnation = 1) {
     ownership::Settings s;
-    s.self = name;
+    s.member_name = name;
     s.incarnation = incarnation;
     s.duties = duties;
     members.push_back(std::make_unique<Ownership>(s));
