--- a/src/net/http/http_connection.cpp
+++ b/src/net/http/http_connection.cpp
@@ -225,9 +225,9 @@
   }
 }
 
-void HttpConnection::dispatch_request(bool whole) {
+void HttpConnection::dispatch_request(bool complete) {
   phase_ = Phase::answering;
-  close_after_response_ = !parser_.keep_alive() || !whole;
+  close_after_response_ = !parser_.keep_alive() || !complete;
   chunked_ = !parser_.is_http_1_0();
   omit_body_ = parser_.method() == "HEAD";
   server_.handler_(std::make_unique<IncomingRequest>(
@@ -425,10 +425,10 @@
 
 std::unique_ptr<IncomingRequest> HttpServer::take_over(const core::HandoverState& passed) {
   const nlohmann::json state = nlohmann::json::from_cbor(passed.state, true, false);
-  const bool whole = state.is_object() && state.contains("chunked") && state["chunked"].is_boolean() &&
+  const bool valid = state.is_object() && state.contains("chunked") && state["chunked"].is_boolean() &&
                      state.contains("last") && state["last"].is_boolean() && state.contains("unsent") &&
                      state["unsent"].is_binary();
-  if (!whole) {
+  if (!valid) {
     evutil_closesocket(passed.descriptor);
     return nullptr;
   }
--- a/src/net/http/http_connection.hpp
+++ b/src/net/http/http_connection.hpp
@@ -42,7 +42,7 @@
   void on_readable();
   void on_output_drained();
   void on_closed();
-  void dispatch_request(bool whole = true);
+  void dispatch_request(bool complete = true);
   void send_error(int status, Headers more = {});
   void write_head(int status, const Headers& headers, const std::string& framing);
   void write(std::string_view bytes);
--- a/src/net/http/http_reply.hpp
+++ b/src/net/http/http_reply.hpp
@@ -10,7 +10,7 @@
 
 namespace bankmux::net {
 
-// Formats a duration for Retry-After, in seconds with three decimals.
+// Formats a duration for Retry-After, in seconds with three decimals: 1.25 s is "1.250".
 std::string retry_after(core::Duration stay_away);
 
 class HttpReply : public core::ClientReply {
--- a/src/net/instances/instance_client.cpp
+++ b/src/net/instances/instance_client.cpp
@@ -183,7 +183,7 @@
   }
   void on_events(std::string_view bytes) {
     if (answer_complete_) return;  // bytes after the end of the answer are ignored
-    std::string whole;
+    std::string complete_events;
     const bool within_limits = splitter_.feed(bytes, [&](std::string_view event) {
       if (answer_complete_) return;
       scanner_.feed(event);
@@ -195,26 +195,27 @@
         if (unsent_prefix_.size() + event.size() <= kMaxUnsentPrefixBytes) unsent_prefix_ += event;
         return;
       }
-      if (!std::exchange(answer_started_, true)) whole += std::exchange(unsent_prefix_, {});
-      whole += event;
+      if (!std::exchange(answer_started_, true)) complete_events += std::exchange(unsent_prefix_, {});
+      complete_events += event;
       // The LF of the final line end may arrive separately, and bytes after the end are ignored.
-      if (scanner_.done() && event.ends_with("\r\n\r")) whole += '\n';
+      if (scanner_.done() && event.ends_with("\r\n\r")) complete_events += '\n';
     });
     if (!within_limits) too_large_ = answer_complete_ = true;
     // Instances need not end the response after the last event, and some do not.
     if (answer_complete_)
       end_timer_ = loop_.at(loop_.now() + (scanner_.done() ? kGraceAfterDone : Duration{0}),
                             [this] { on_end(false); });
-    if (!whole.empty()) events_.on_data(std::move(whole));  // last: it may destroy this object
+    if (!complete_events.empty())
+      events_.on_data(std::move(complete_events));  // last: it may destroy this object
   }
-  void on_end(bool whole) override {
+  void on_end(bool complete) override {
     const ResponseParser& response = exchange_.response();
     end_timer_.reset();
-    if (whole && !streamed_ && response.status() == 200) cached_tokens_ = sse::cached_tokens(body_);
+    if (complete && !streamed_ && response.status() == 200) cached_tokens_ = sse::cached_tokens(body_);
     AttemptResult result;
     result.progress = exchange_.progress();
     result.closed_here = exchange_.closed_here();
-    result.verdict = verdict(whole && !too_large_);
+    result.verdict = verdict(complete && !too_large_);
     result.report = scanner_.report();
     result.ended_by_error_event = scanner_.failed();
     if (const auto report = response.header("X-Pressure"); !report.empty())
@@ -245,34 +246,34 @@
     return streamed_ ? is_json(response) : is_stream(response);
   }
   // An error status is final even if the body breaks off; a stream and a prefill result must be complete.
-  [[nodiscard]] Verdict verdict(bool whole) const {
+  [[nodiscard]] Verdict verdict(bool complete) const {
     const ResponseParser& response = exchange_.response();
     if (!response.has_head()) return Verdict::broken;
     const int status = response.status();
-    if (status == 200 && dialect_ == Dialect::openai) return chat_verdict(whole);
+    if (status == 200 && dialect_ == Dialect::openai) return chat_verdict(complete);
     if (status == 200)
-      return !whole || has_wrong_content_type() || scanner_.failed() ? Verdict::broken : Verdict::served;
+      return !complete || has_wrong_content_type() || scanner_.failed() ? Verdict::broken : Verdict::served;
     // Only this header proves that nothing was executed; a bare 503 may come from an intermediary.
     const bool not_executed = response.header("X-Turned-Away") == "1";
     if (not_executed && (status == 503 || status == 504)) return Verdict::busy;
     if (dialect_ == Dialect::openai) {
       if (status == 429) return Verdict::busy;  // rate limit, applied before any work
     } else {
-      if (status == 202) return whole ? Verdict::state_held : Verdict::broken;
+      if (status == 202) return complete ? Verdict::state_held : Verdict::broken;
       if (status == 410 && not_executed) return Verdict::no_state;
     }
     const bool client_error = status >= 400 && status < 500 && status != 408 && status != 429;
-    return client_error && whole ? Verdict::rejected : Verdict::error;
+    return client_error && complete ? Verdict::rejected : Verdict::error;
   }
-  [[nodiscard]] Verdict chat_verdict(bool whole) const {
+  [[nodiscard]] Verdict chat_verdict(bool complete) const {
     if (has_wrong_content_type()) return Verdict::error;
     if (!streamed_) {
-      if (!whole) return Verdict::broken;
+      if (!complete) return Verdict::broken;
       return cached_tokens_ ? Verdict::served : Verdict::error;  // not a JSON object, hence no valid answer
     }
     if (scanner_.failed()) return answer_started_ ? Verdict::broken : Verdict::error;
     if (scanner_.done()) return Verdict::served;  // regardless of how the connection ends afterwards
-    return whole && scanner_.finished() && !splitter_.within_event() ? Verdict::served : Verdict::broken;
+    return complete && scanner_.finished() && !splitter_.within_event() ? Verdict::served : Verdict::broken;
   }
 
   Loop& loop_;
@@ -298,7 +299,7 @@
 // A call without a request body: claim, release or probe.
 class InstanceClient::Call : public Exchange::Events {
  public:
-  using Done = std::function<void(const Call&, bool whole)>;
+  using Done = std::function<void(const Call&, bool complete)>;
   Call(Loop& loop, InstancePool& pool, const std::string& address, std::string request,
        core::ConnectionTerms terms, std::function<bool()> may_write, Done done)
       : may_write_(std::move(may_write)),
@@ -317,10 +318,10 @@
   void on_body(std::string bytes) override {
     if (body_.size() < kMaxBodyBytes) body_ += bytes;
   }
-  void on_end(bool whole) override {
+  void on_end(bool complete) override {
     const Done done = std::move(done_);
     timeout_.reset();
-    done(*this, whole);  // last: it destroys this object
+    done(*this, complete);  // last: it destroys this object
   }
 
   std::function<bool()> may_write_;
@@ -336,14 +337,14 @@
 
 void InstanceClient::call(const core::Target& target, std::string request, core::ConnectionTerms terms,
                           std::function<bool()> may_write,
-                          std::function<void(const Call&, bool whole)> done) {
+                          std::function<void(const Call&, bool complete)> done) {
   const auto position = calls_.emplace(calls_.end());
   *position =
       std::make_unique<Call>(loop_, pool_, target.address, std::move(request), terms, std::move(may_write),
-                             [this, position, done = std::move(done)](const Call& call, bool whole) {
+                             [this, position, done = std::move(done)](const Call& call, bool complete) {
                                const std::unique_ptr<Call> mine = std::move(*position);
                                calls_.erase(position);
-                               done(call, whole);
+                               done(call, complete);
                              });
 }
 
@@ -373,8 +374,8 @@
                              std::function<bool()> may_write,
                              std::function<void(core::ReservationAnswer)> done) {
   call(target, call_request(target, "POST", "/bootstrap/rooms/" + payload->id), kHarmlessCall,
-       std::move(may_write), [done = std::move(done)](const Call& call, bool whole) {
-         const int status = whole ? call.response().status() : 0;
+       std::move(may_write), [done = std::move(done)](const Call& call, bool complete) {
+         const int status = complete ? call.response().status() : 0;
          done(status == 200   ? core::ReservationAnswer::held
               : status == 409 ? core::ReservationAnswer::not_held
                               : core::ReservationAnswer::unknown);
@@ -391,10 +392,10 @@
 void InstanceClient::probe(const core::Target& target, std::function<bool()> may_write,
                            std::function<void(const AttemptResult&)> done) {
   call(target, call_request(target, "GET", dialect_ == Dialect::platform ? "/-/load" : "/v1/models"),
-       kHarmlessCall, std::move(may_write), [done = std::move(done)](const Call& call, bool whole) {
+       kHarmlessCall, std::move(may_write), [done = std::move(done)](const Call& call, bool complete) {
          AttemptResult result;
          result.progress = call.progress();
-         const int status = whole ? call.response().status() : 0;
+         const int status = complete ? call.response().status() : 0;
          result.verdict = status == 200   ? Verdict::served
                           : status == 503 ? Verdict::busy
                           : status == 0   ? Verdict::broken
--- a/src/net/instances/instance_client.hpp
+++ b/src/net/instances/instance_client.hpp
@@ -40,7 +40,7 @@
  private:
   class Call;
   void call(const core::Target& target, std::string request, core::ConnectionTerms terms,
-            std::function<bool()> may_write, std::function<void(const Call&, bool whole)> done);
+            std::function<bool()> may_write, std::function<void(const Call&, bool complete)> done);
 
   Loop& loop_;
   InstancePool pool_;
--- a/src/net/instances/instance_pool.cpp
+++ b/src/net/instances/instance_pool.cpp
@@ -235,11 +235,11 @@
 }
 
 // Must be called last: the event handler may destroy this exchange.
-void Exchange::finish(bool whole) {
-  if (whole) closed_here_ = false;
-  progress_ = whole ? Progress::ended : progress();
+void Exchange::finish(bool complete) {
+  if (complete) closed_here_ = false;
+  progress_ = complete ? Progress::ended : progress();
   close();
-  events_.on_end(whole);
+  events_.on_end(complete);
 }
 
 void Exchange::close() {
--- a/src/net/instances/instance_pool.hpp
+++ b/src/net/instances/instance_pool.hpp
@@ -33,7 +33,7 @@
     virtual bool may_write() = 0;
     virtual void on_written() = 0;
     virtual void on_body(std::string bytes) = 0;  // the response head is complete by then
-    virtual void on_end(bool whole) = 0;
+    virtual void on_end(bool complete) = 0;
   };
 
   // Produces the request head, or a whole request without a body. Called once, before the first byte is
@@ -69,7 +69,7 @@
   void on_output_written();
   void on_readable();
   void on_closed();
-  void finish(bool whole);
+  void finish(bool complete);
   void close();
 
   InstancePool& pool_;
--- a/tests/integration/delayed_loop_test.cpp
+++ b/tests/integration/delayed_loop_test.cpp
@@ -29,12 +29,12 @@
   bool may_write() override { return true; }
   void on_written() override {}
   void on_body(std::string) override {}
-  void on_end(bool now_whole) override {
-    whole = now_whole;
+  void on_end(bool is_complete) override {
+    complete = is_complete;
     loop.stop();
   }
   net::Loop& loop;
-  std::optional<bool> whole;
+  std::optional<bool> complete;
 };
 
 }  // namespace
@@ -60,7 +60,7 @@
   ExchangeEnd first(loop), second(loop);
   std::unique_ptr<net::Exchange> exchange = get(first);
   loop.run();
-  REQUIRE(first.whole == true);
+  REQUIRE(first.complete == true);
   exchange.reset();
   REQUIRE(pool.open() == 1);
 
@@ -70,7 +70,7 @@
   const auto delay = loop.at(kept + kIdle / 4, [&] { std::this_thread::sleep_for(kIdle * 2); });
   const auto test_limit = loop.at(kept + 5s, [&] { loop.stop(); });
   loop.run();
-  CHECK(second.whole == true);
+  CHECK(second.complete == true);
   CHECK(exchange->response().status() == 200);
   CHECK(seen.all() == std::vector<std::string>{"connection", "GET / HTTP/1.1", "GET / HTTP/1.1"});
 }
@@ -85,11 +85,11 @@
     bool may_write() override { return true; }
     void on_written() override {}
     void on_body(std::string) override {}
-    void on_end(bool now_whole) override {
+    void on_end(bool is_complete) override {
       ++ended;
-      whole += now_whole ? 1 : 0;
+      complete += is_complete ? 1 : 0;
     }
-    int ended = 0, whole = 0;
+    int ended = 0, complete = 0;
   } served;
   net::Loop loop;
   net::InstancePool pool(loop, {.connect_timeout = kConnect});
@@ -107,7 +107,7 @@
     loop.run();
   }
   CHECK(served.ended == kRequests);
-  CHECK(served.whole == kRequests);
+  CHECK(served.complete == kRequests);
 }
 
 TEST_CASE("Server: requests that arrive while the loop is delayed beyond the request timeout are answered") {
