--- a/src/app/serve.cpp
+++ b/src/app/serve.cpp
@@ -136,8 +136,8 @@
                                 pool_limits(config.connect_timeout, config.idle_timeout, resource_limits),
                                 net::Dialect::platform);
   bool list_received = false, waiting_for_list = false;
-  net::DiscoveryWatch discovery(loop, config, [&](const core::FleetUpdate& news) {
-    conductor->update_fleet(news);
+  net::DiscoveryWatch discovery(loop, config, [&](const core::FleetUpdate& update) {
+    conductor->update_fleet(update);
     list_received = true;
     if (waiting_for_list) loop.stop();
   });
@@ -213,7 +213,7 @@
       loop, pool_limits(appliance.connect_timeout, appliance.idle_timeout, resource_limits),
       net::Dialect::openai);
   net::InstanceMonitor monitor(loop, instances, appliance,
-                               [&](const core::FleetUpdate& news) { conductor->update_fleet(news); });
+                               [&](const core::FleetUpdate& update) { conductor->update_fleet(update); });
   conductor.emplace(core_settings(appliance.module, resource_limits), loop, instances, monitor, log_line);
   conductor->observe(request_log(appliance.classes));
   net::OperatorPage page(*conductor, loop, monitor, admission_control, appliance);
--- a/src/core/conductor.hpp
+++ b/src/core/conductor.hpp
@@ -183,7 +183,7 @@
   // Continues the answer at another instance; the module knows the request by a new id from here on.
   void resume(Request& r, const StreamContinuation& continuation);
   void break_off(Request& r);
-  void start_stall_timer(Request& r, Duration patience);
+  void start_stall_timer(Request& r, Duration time_limit);
   // Records an event and starts the timer for the next one. The limit follows the instance's event rate if
   // another instance could continue the stream.
   void record_stream_event(Request& r);
--- a/src/core/request_lifecycle.cpp
+++ b/src/core/request_lifecycle.cpp
@@ -111,16 +111,16 @@
   if (member == nullptr || r.streaming || now >= r.client_request.facts.deadline) return false;
   if (r.attempts > settings_.module.limits.max_attempts) return false;
   ++figures_.attempts;
-  Duration patience = r.client_request.facts.deadline - now;
-  if (command.timeout > 0us && command.timeout < patience) {
-    patience = command.timeout;
-    r.attempt_timer = scheduler_.at(now + patience, [&r] { r.inbox.push(AttemptTimedOut{}); });
+  Duration time_limit = r.client_request.facts.deadline - now;
+  if (command.timeout > 0us && command.timeout < time_limit) {
+    time_limit = command.timeout;
+    r.attempt_timer = scheduler_.at(now + time_limit, [&r] { r.inbox.push(AttemptTimedOut{}); });
   }
   if (attempt.prefill) held_.add_prefill(r.id, r.client_request.payload, command.engine);
   r.instance = command.engine;
   r.execution_recorded = false;
   if (command.by > 0us) r.send_timer = scheduler_.at(command.by, [&r] { r.inbox.push(SendTooLate{}); });
-  const Time not_after = now + patience;
+  const Time not_after = now + time_limit;
   const auto may_write = [this, &r, prefill = attempt.prefill, instance = command.engine, by = command.by,
                           not_after] {
     if (!may_send(instance) || (by > 0us && scheduler_.now() >= by)) return false;
--- a/src/core/stream.cpp
+++ b/src/core/stream.cpp
@@ -108,8 +108,8 @@
 }
 
 // Starts the timer for the next event of the stream.
-void Conductor::start_stall_timer(Request& r, Duration patience) {
-  r.stall_timer = scheduler_.at(scheduler_.now() + patience, [&r] { r.inbox.push(StreamStalled{}); });
+void Conductor::start_stall_timer(Request& r, Duration time_limit) {
+  r.stall_timer = scheduler_.at(scheduler_.now() + time_limit, [&r] { r.inbox.push(StreamStalled{}); });
 }
 
 bool Conductor::watches_silence(const Request& r) const {
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -18,32 +18,35 @@
 
 // `bankmux key add|list|revoke`.
 CLI::App* key_commands(CLI::App& cli, bankmux::app::KeyCommandOptions& options) {
-  CLI::App* key = cli.add_subcommand("key", "Make, list and revoke the API keys of an appliance");
+  CLI::App* key = cli.add_subcommand("key", "Create, list and revoke the API keys of an appliance");
   key->require_subcommand(1);
   key->footer(
-      "A serving bankmux takes a changed file on SIGHUP. Exit codes: 0 done, 1 no such key or the file "
-      "cannot be written, 2 a faulty file.");
-  CLI::App* add = key->add_subcommand("add", "Make a key, print it once, and keep its salted hash");
-  CLI::App* list = key->add_subcommand("list", "List the keys, without their hashes");
-  CLI::App* revoke = key->add_subcommand("revoke", "Take a key out of the file");
+      "A running bankmux reloads the file on SIGHUP. Exit codes: 0 success, 1 no such key or the file "
+      "cannot be written, 2 invalid file.");
+  CLI::App* add = key->add_subcommand("add", "Create a key, print it once, and store its salted hash");
+  CLI::App* list = key->add_subcommand("list", "List the keys without their hashes");
+  CLI::App* revoke = key->add_subcommand("revoke", "Remove a key from the file");
   for (CLI::App* action : {add, list, revoke}) {
-    action->add_option("--keys", options.file, "The file of keys, as the appliance file's 'keys' names it")
+    action->add_option("--keys", options.file, "The key file, as named by 'keys' in the appliance file")
         ->required();
     action->callback([&options, name = action->get_name()] { options.action = name; });
   }
-  add->add_option("--tenant", options.tenant, "Whose use it counts as")->required();
-  add->add_option("--model", options.models, "A model that it may use, once for each; left out: all");
-  add->add_option("--requests-per-minute", options.requests_per_minute, "0: not limited")
+  add->add_option("--tenant", options.tenant, "The tenant that the key's requests count against")->required();
+  add->add_option("--model", options.models,
+                  "A model that the key may use; repeat for several, omit for all");
+  add->add_option("--requests-per-minute", options.requests_per_minute, "Requests per minute; 0: no limit")
       ->check(CLI::NonNegativeNumber);
-  add->add_option("--tokens-per-minute", options.tokens_per_minute, "Of prompts and answers; 0: not limited")
+  add->add_option("--tokens-per-minute", options.tokens_per_minute,
+                  "Prompt and answer tokens per minute; 0: no limit")
       ->check(CLI::NonNegativeNumber);
-  add->add_option("--open", options.open, "Requests open at once; 0: not limited")
+  add->add_option("--open", options.open, "Requests open at the same time; 0: no limit")
       ->check(CLI::NonNegativeNumber);
   add->footer(
       "Example: bankmux key add --keys keys.json --tenant flota-norte --requests-per-minute 600 --open 20");
-  list->add_flag("--json", options.json, "As JSON");
+  list->add_flag("--json", options.json, "Print JSON");
   list->footer("Example: bankmux key list --keys keys.json --json");
-  revoke->add_option("ID", options.id, "As `bankmux key list` shows it: 12 digits")->required();
+  revoke->add_option("ID", options.id, "The key's id as shown by `bankmux key list`: 12 hexadecimal digits")
+      ->required();
   revoke->footer("Example: bankmux key revoke 3f9a01c2d4e5 --keys keys.json && kill -HUP $(pidof bankmux)");
   return key;
 }
@@ -59,38 +62,42 @@
   bool once = false, json = false;
   app::KeyCommandOptions key_options;
   const char* file_help =
-      "Serve the OpenAI-style chat API as this file says, instead of the platform's protocol";
-  CLI::App* serve = cli.add_subcommand("serve", "Serve as PROXY_* and the file that PROXY_CONFIG names say");
+      "Serve the OpenAI-compatible chat API as configured in this file instead of the platform's protocol";
+  CLI::App* serve =
+      cli.add_subcommand("serve", "Serve as configured by PROXY_* and the file named by PROXY_CONFIG");
   serve->add_option("--appliance", appliance, file_help);
   CLI::App* version = cli.add_subcommand("version", "Print the version");
-  CLI::App* check =
-      cli.add_subcommand("check-config", "Read the configuration, say what is wrong with it, and end");
-  check->add_option("--appliance", appliance, "Check this file");
-  CLI::App* console =
-      cli.add_subcommand("console", "Show an appliance's fleet, load, requests, tenants and drains live");
-  console->add_flag("--once", once, "Print one picture and end");
+  CLI::App* check = cli.add_subcommand("check-config", "Check the configuration and print its errors");
+  check->add_option("--appliance", appliance, "Check this appliance file");
+  CLI::App* console = cli.add_subcommand(
+      "console", "Show a live view of an appliance's fleet, load, requests, tenants and drains");
+  console->add_flag("--once", once, "Print the view once and exit");
   CLI::App* key = key_commands(cli, key_options);
-  CLI::App* tenants = cli.add_subcommand("tenants", "Show an appliance's tenants: use, limits, refusals");
+  CLI::App* tenants =
+      cli.add_subcommand("tenants", "Show an appliance's tenants: usage, limits and refusals");
   tenants->footer(
       "Example: bankmux tenants --connect 127.0.0.1:8081 --json\n"
-      "Exit codes: 0 answered, 1 no answer, 2 a faulty address.");
+      "Exit codes: 0 success, 1 no answer, 2 invalid address.");
   CLI::App* duties =
-      cli.add_subcommand("duties", "Show who owns which duty of an appliance's fleet, and since when");
+      cli.add_subcommand("duties", "Show the owner of each duty of an appliance's fleet, and since when");
   duties->footer(
       "Example: bankmux duties --connect 127.0.0.1:8081 --json\n"
-      "Exit codes: 0 answered, 1 no answer or no 'coordination' there, 2 a faulty address.");
-  CLI::App* ledger = cli.add_subcommand("ledger", "What became of a request under its Idempotency-Key");
+      "Exit codes: 0 success, 1 no answer or no 'coordination' configured, 2 invalid address.");
+  CLI::App* ledger =
+      cli.add_subcommand("ledger", "Query the ledger of requests sent with an Idempotency-Key");
   ledger->require_subcommand(1);
-  CLI::App* show = ledger->add_subcommand("show", "Say whether it ran, and what a repeat would hear");
+  CLI::App* show =
+      ledger->add_subcommand("show", "Show whether the request ran and how a repeat would be answered");
   show->add_option("KEY", ledger_key, "The Idempotency-Key")->required();
-  show->add_option("--tenant", tenant, "Of this tenant alone");
+  show->add_option("--tenant", tenant, "Only requests of this tenant");
   show->footer(
       "Example: bankmux ledger show pedido-4711 --connect 127.0.0.1:8081\n"
-      "Exit codes: 0 found, 1 nothing is kept under it or no answer, 2 a faulty address.");
-  for (CLI::App* asks : {console, tenants, duties, show}) {
-    asks->add_option("--connect", connect, "Where its operator's page listens")->capture_default_str();
+      "Exit codes: 0 found, 1 no entry for the key or no answer, 2 invalid address.");
+  for (CLI::App* command : {console, tenants, duties, show}) {
+    command->add_option("--connect", connect, "Address of the appliance's operator page")
+        ->capture_default_str();
   }
-  for (CLI::App* prints : {tenants, duties, show}) prints->add_flag("--json", json, "As JSON");
+  for (CLI::App* command : {tenants, duties, show}) command->add_flag("--json", json, "Print JSON");
   CLI::App* schema = cli.add_subcommand("schema", "Print the JSON Schema of the appliance file");
   CLI11_PARSE(cli, argc, argv);
   try {
