--- a/src/admission/door.hpp
+++ b/src/admission/door.hpp
@@ -85,7 +85,7 @@
   std::uint64_t tokens = 0;  // charged to ended requests
 };
 
-// Decides for each request whether it is admitted, and keeps account of it until it ends.
+// Decides for each request whether it is admitted, and accounts for it until it ends.
 class AdmissionControl {
  public:
   explicit AdmissionControl(AdmissionLimits limits)
--- a/src/admission/ledger.cpp
+++ b/src/admission/ledger.cpp
@@ -65,7 +65,7 @@
     entry.answer_position = with_answer_.insert(with_answer_.end(), number);
   }
   if (entry.open == 0) {
-    // A repeatable request whose answer is not kept needs no protection: its repeat may run.
+    // A repeatable request whose answer is not stored needs no protection: its repeat may run.
     if (!entry.may_have_run || (entry.outcome_unknown && !entry.once)) return erase_entry(it);
     entry.pending_attempts = 0;
     entry.ended = now_;
--- a/src/admission/ledger.hpp
+++ b/src/admission/ledger.hpp
@@ -1,4 +1,4 @@
-// The idempotency ledger: keeps the state and answer of each request under its idempotency key, so that a
+// The idempotency ledger: stores the state and answer of each request under its idempotency key, so that a
 // client's repeat does not run a second time. Bounded by entries, bytes of recorded answers and age. Has no
 // I/O and no clock; a store on disk could implement the same interface.
 #pragma once
@@ -20,12 +20,12 @@
 struct LedgerLimits {
   std::size_t entries = 20'000;                // 0: no ledger
   std::size_t answer_bytes = 8 * 1024 * 1024;  // total of all recorded answers
-  // Limit for one answer; a larger one is not kept, but its request stays protected.
+  // Limit for one answer; a larger one is not stored, but its request stays protected.
   std::size_t max_answer_bytes = 256 * 1024;
-  Duration age{3'600'000'000};  // how long an entry is kept after its request ended, in microseconds
+  Duration age{3'600'000'000};  // retention of an entry after its request ended, in microseconds
 };
 
-// The answer to a request, kept to be sent again byte for byte.
+// The answer to a request, stored so that it can be sent again byte for byte.
 struct RecordedAnswer {
   int status = 0;
   std::string content_type;
@@ -54,7 +54,7 @@
     bool once = false;  // requests of its class must not run twice
     int open = 0;       // requests under this key that are running
     bool may_have_run = false;
-    int status = 0;         // HTTP status of the recorded answer; 0: none is kept
+    int status = 0;         // HTTP status of the recorded answer; 0: none
     std::size_t bytes = 0;  // body size of that answer
     Duration since_end{0};
   };
@@ -63,9 +63,9 @@
 
   // Opens an entry for a request, or finds the one of an earlier request with the same key.
   // `digest`: of path and body. `once`: requests of its class must not run twice, so the entry is
-  // kept for its whole age. `first_try`: the request has no key of its own and does not claim to be a retry.
-  // It runs, and shares one entry with identical requests, so that a repeat of any of them finds what may
-  // have run.
+  // retained until it expires. `first_try`: the request has no key of its own and does not claim to be a
+  // retry. It runs, and shares one entry with identical requests, so that a repeat of any of them finds what
+  // may have run.
   BeginResult begin(Time now, const std::string& tenant, const std::string& key, std::uint64_t digest,
                     bool once, bool first_try = false);
   // True: an attempt that may execute the request is about to be sent. False: that attempt is proved not to
@@ -89,7 +89,7 @@
     int open = 1;                  // requests under this entry that have not ended
     int pending_attempts = 0;      // attempts that may be executing one of them
     bool may_have_run = false;     // a request that has ended may have been executed
-    bool outcome_unknown = false;  // the answer of such a request is not kept
+    bool outcome_unknown = false;  // the answer of such a request is not stored
     Time ended{0};
     std::optional<RecordedAnswer> answer;
     std::optional<std::list<Number>::iterator> eviction_position;  // in ended_list(), once ended
@@ -112,7 +112,7 @@
   Entries entries_;
   std::unordered_map<std::string, Number> by_lookup_key_;
   std::list<Number> ended_at_most_once_, ended_repeatable_;  // ended entries, oldest first
-  std::list<Number> with_answer_;                            // entries whose answer is kept, oldest first
+  std::list<Number> with_answer_;                            // entries whose answer is stored, oldest first
 };
 
 }  // namespace bankmux::admission
--- a/src/admission/limiter.hpp
+++ b/src/admission/limiter.hpp
@@ -37,7 +37,7 @@
   LimitStatus limit_status;
 };
 
-// Applies the limits. `tenant` is the key that state is kept under; admission passes the ID of an API key.
+// Applies the limits. State is stored by `tenant`; AdmissionControl passes the ID of an API key.
 class Limiter {
  public:
   explicit Limiter(std::size_t max_tenants = 100'000) : max_tenants_(max_tenants) {}
@@ -46,7 +46,8 @@
   // charged. A request for more tokens than the limit allows in a minute passes on a full allowance, and the
   // excess delays later requests.
   Decision take(Time now, const std::string& tenant, const Limits& limits, Tokens reserved);
-  // An admitted request has ended and used `used` tokens, of which at most `max_used` are charged.
+  // An admitted request has ended: replaces its reservation by the tokens actually used, `used`, of which at
+  // most `max_used` are charged.
   void settle(Time now, const std::string& tenant, const Limits& limits, Tokens reserved, Tokens used,
               Tokens max_used);
   // An admitted request never ran: refunds all of it.
--- a/src/net/openai/admitted.hpp
+++ b/src/net/openai/admitted.hpp
@@ -44,6 +44,8 @@
 
  private:
   [[nodiscard]] bool fits_ledger(std::size_t bytes) const;
+  // Reports the end of the request to admission control, which charges the tokens actually used and records
+  // `answer` in the ledger. Only the first call has an effect.
   void settle(std::optional<admission::RecordedAnswer> answer);
 
   admission::AdmissionControl& admission_control_;
--- a/src/net/openai/answer_writer.cpp
+++ b/src/net/openai/answer_writer.cpp
@@ -88,7 +88,7 @@
     return out;
   }
   std::string end() override { return stream_.finish(); }
-  std::optional<std::string> whole(std::string body) override {
+  std::optional<std::string> format_complete(std::string body) override {
     const std::optional<json> response = to_response(json::parse(body, nullptr, false), echo_);
     if (!response) return std::nullopt;
     return response->dump(-1, ' ', false, json::error_handler_t::replace);
--- a/src/net/openai/answer_writer.hpp
+++ b/src/net/openai/answer_writer.hpp
@@ -25,7 +25,7 @@
   // Bytes to send after the last event of a stream.
   virtual std::string end() { return ""; }
   // Formats a complete answer that is not streamed; nullopt if it is not in the expected format.
-  virtual std::optional<std::string> whole(std::string body) { return body; }
+  virtual std::optional<std::string> format_complete(std::string body) { return body; }
   // The event that reports to the client that its stream is incomplete.
   virtual std::string error(std::string_view code, std::string_view message);
   // Whether events() forwards an instance's own error events to the client.
--- a/src/net/openai/door_answers.hpp
+++ b/src/net/openai/door_answers.hpp
@@ -8,7 +8,7 @@
 
 namespace bankmux::net::openai {
 
-// The reply to a request that is not admitted and for which no recorded answer is kept.
+// The reply to a request that is not admitted and for which there is no recorded answer.
 ErrorReply error_reply(const admission::AdmissionResult& result);
 
 // Adds x-ratelimit-limit|remaining|reset-requests|tokens for those of the two that are limited.
--- a/src/net/openai/json_reader.cpp
+++ b/src/net/openai/json_reader.cpp
@@ -20,8 +20,8 @@
   throw RequestError{"the body is not sound JSON: " + why, "", 400, "invalid_json"};
 }
 
-// The library's message without its prefix, as in "[json.exception.parse_error.101] parse error at ...",
-// which means nothing to a client.
+// The library's message without its prefix, such as "[json.exception.parse_error.101]", which has no meaning
+// for a client.
 std::string parser_message(const json::exception& problem) {
   std::string text = problem.what();
   if (const std::size_t end = text.find("] "); end != std::string::npos) text.erase(0, end + 2);
--- a/src/net/openai/reply.cpp
+++ b/src/net/openai/reply.cpp
@@ -138,14 +138,14 @@
     return incoming_->end();
   }
   options_.account->record_answer(body_);
-  const std::optional<std::string> whole = options_.formatter->whole(std::move(body_));
-  if (!whole) {
+  const std::optional<std::string> complete_answer = options_.formatter->format_complete(std::move(body_));
+  if (!complete_answer) {
     // The request ran, but its answer cannot be translated.
     return send_error(
         {502, "server_error", "upstream_failed", "The box's answer could not be understood.", false, {}});
   }
-  options_.account->completed(200, kJson, *whole);
-  incoming_->answer(200, headers(kJson, options_.account->protects()), *whole);
+  options_.account->completed(200, kJson, *complete_answer);
+  incoming_->answer(200, headers(kJson, options_.account->protects()), *complete_answer);
 }
 
 // An incomplete stream is reported by an error event, unless the instance has already sent one, and by the
--- a/src/net/openai/rules.hpp
+++ b/src/net/openai/rules.hpp
@@ -37,7 +37,7 @@
   // is extended during the call.
   void check(const nlohmann::json& value, std::string& path) const;
 
-  static constexpr std::size_t kMaxTextBytes = 64 * 1024 * 1024;  // the limit for the whole body is lower
+  static constexpr std::size_t kMaxTextBytes = 64 * 1024 * 1024;  // the limit for the request body is lower
   static constexpr std::size_t kMaxEntries = 4096;
 
  private:
@@ -59,7 +59,7 @@
   bool required = false;
 };
 
-// Defined here, where Member is complete.
+// Defined after Member, which it needs as a complete type.
 struct Rule::Alternative {
   explicit Alternative(Kind k, double l = 0.0, double m = 0.0) : kind(k), min(l), max(m) {}
   Kind kind;
--- a/src/net/openai/translate.cpp
+++ b/src/net/openai/translate.cpp
@@ -272,9 +272,9 @@
     }
   }
   const std::string reason = text_of(choices->front(), "finish_reason");
-  const bool whole = incomplete_details(reason).is_null();
+  const bool complete = incomplete_details(reason).is_null();
   const json* usage = find(completion, "usage");
-  return response_value(echo, text_of(completion, "model"), whole ? "completed" : "incomplete",
+  return response_value(echo, text_of(completion, "model"), complete ? "completed" : "incomplete",
                         std::move(output), usage != nullptr ? *usage : json(), reason);
 }
 
@@ -401,9 +401,9 @@
     item.value["status"] = "completed";
     out += event("response.output_item.done", {{"output_index", index}, {"item", item.value}});
   }
-  const bool whole = incomplete_details(finish_reason_).is_null();
-  return out + event(whole ? "response.completed" : "response.incomplete",
-                     {{"response", response(whole ? "completed" : "incomplete")}});
+  const bool complete = incomplete_details(finish_reason_).is_null();
+  return out + event(complete ? "response.completed" : "response.incomplete",
+                     {{"response", response(complete ? "completed" : "incomplete")}});
 }
 
 std::string ResponseStream::fail(std::string_view code, std::string_view message) {
--- a/src/recovery/recovery.hpp
+++ b/src/recovery/recovery.hpp
@@ -1,6 +1,6 @@
-// Recovery of a stream whose instance is lost: keeps the events that the client has received, decides whether
-// and how another instance can continue the answer, and rewrites that instance's events as a continuation of
-// the first one's. For the streams of /v1/chat/completions and /v1/completions. No I/O.
+// Recovery of a stream whose instance is lost: records the events that the client has received, decides
+// whether and how another instance can continue the answer, and rewrites that instance's events as a
+// continuation of the first one's. For the streams of /v1/chat/completions and /v1/completions. No I/O.
 #pragma once
 
 #include <cstdint>
--- a/src/sse/event_splitter.hpp
+++ b/src/sse/event_splitter.hpp
@@ -8,7 +8,7 @@
 
 namespace bankmux::sse {
 
-// Offset of the first LF or CR, where the line ends; npos if there is none yet.
+// Offset of the first LF or CR, which ends the line; npos if there is none yet.
 [[nodiscard]] inline std::size_t line_end(std::string_view text) {
   // Two searches for one character are many times faster than one search for either.
   const std::size_t lf = text.find('\n');
