--- a/src/app/stream_handover.cpp
+++ b/src/app/stream_handover.cpp
@@ -29,7 +29,7 @@
     receiver_ = std::make_unique<net::StreamReceiver>(
         loop_, path_, [this](operations::HandedOverStream passed) { take_over_stream(std::move(passed)); });
   } catch (const std::runtime_error& error) {
-    log::write("handover", std::string("cannot receive running streams of another process: ") + error.what());
+    log::write("handover", std::string("running streams can't be taken over here: ") + error.what());
   }
 }
 
--- a/src/duties/duty_runner.cpp
+++ b/src/duties/duty_runner.cpp
@@ -119,8 +119,8 @@
     const auto before = logged_owners_.find(duty);
     if (before != logged_owners_.end() && before->second.token == record.token) continue;
     first_seen_[duty] = clock_();
-    log_(duty + " is owned by " + record.owner + " with token " + std::to_string(record.token) +
-         (before == logged_owners_.end() ? "" : ", previously by " + before->second.owner));
+    log_(duty + " is " + record.owner + "'s by token " + std::to_string(record.token) +
+         (before == logged_owners_.end() ? "" : ", after " + before->second.owner));
   }
   for (const auto& [duty, record] : logged_owners_) {
     if (owners.contains(duty)) continue;
--- a/src/net/platform/discovery_watch.cpp
+++ b/src/net/platform/discovery_watch.cpp
@@ -128,7 +128,7 @@
   evbuffer_remove(input, bytes.data(), bytes.size());
   if (evhttp_request_get_response_code(request) != 200) return;
   if (!line_received_ && failures_ > 1)
-    log::write("discovery", "watch re-established after " + std::to_string(failures_) + " calls");
+    log::write("discovery", "a watch again after " + std::to_string(failures_) + " calls");
   line_received_ = true;  // an empty line also proves that the watch works
   bool line_complete = false;
   splitter_.feed(bytes, [this, &line_complete](const std::string& text) {
